--- a/bench/src/main/java/org/damaskmoor/bench/capacity/StateSlopes.java
+++ b/bench/src/main/java/org/damaskmoor/bench/capacity/StateSlopes.java
@@ -9,8 +9,11 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import org.damaskmoor.core.accounting.Refusal;
-import org.damaskmoor.core.accounting.RefusalWriter;
-import org.damaskmoor.core.accounting.RefusalWriterLimits;
+import org.damaskmoor.core.accounting.RefusalReplicator;
+import org.damaskmoor.core.accounting.RefusalReplicatorLimits;
+import org.damaskmoor.core.atmostonce.CallKey;
+import org.damaskmoor.core.atmostonce.LedgerLimits;
+import org.damaskmoor.core.atmostonce.TargetLedger;
 import org.damaskmoor.core.configuration.ConfigurationStore;
 import org.damaskmoor.core.configuration.ServiceMatcher;
 import org.damaskmoor.core.id.CallerName;
@@ -21,13 +24,10 @@
 import org.damaskmoor.core.id.RequestId;
 import org.damaskmoor.core.id.ServiceName;
 import org.damaskmoor.core.id.TargetId;
-import org.damaskmoor.core.once.CallKey;
-import org.damaskmoor.core.once.LedgerLimits;
-import org.damaskmoor.core.once.TargetLedger;
 import org.damaskmoor.core.routing.ChoicePolicies;
-import org.damaskmoor.core.routing.RequestView;
 import org.damaskmoor.core.routing.Router;
 import org.damaskmoor.core.routing.RoutingOptions;
+import org.damaskmoor.core.routing.RoutingRequest;
 import org.damaskmoor.core.routing.Target;
 import org.damaskmoor.node.internal.members.MemberDirectory;
 import org.damaskmoor.schema.configuration.RequestRule;
@@ -78,7 +78,7 @@
     static String router() {
         double bytes = HeapMeter.bytesPerUnit(FEW, TARGETS, StateSlopes::routed);
         Router router = routed(TARGETS);
-        RequestView view = new RequestView(false, TimeUnit.SECONDS.toNanos(1));
+        RoutingRequest view = new RoutingRequest(false, TimeUnit.SECONDS.toNanos(1));
         double microseconds = microseconds(() -> router.choose(view, Set.of(), 1));
         return line("target", TARGETS, bytes, "choice_us", microseconds);
     }
@@ -202,11 +202,11 @@
     }
 
     private static Object refused(int keys) {
-        RefusalWriter writer =
-                new RefusalWriter(
+        RefusalReplicator writer =
+                new RefusalReplicator(
                         new NodeId("node-1"),
                         new Incarnation(1),
-                        RefusalWriterLimits.defaults(),
+                        RefusalReplicatorLimits.defaults(),
                         List::of,
                         (peer, batch) -> {},
                         new SplittableRandom(1));
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/ObservedRouter.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/ObservedRouter.java
@@ -12,11 +12,11 @@
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.core.id.TargetId;
 import org.damaskmoor.core.load.RegionSummary;
-import org.damaskmoor.core.routing.CandidateWeight;
+import org.damaskmoor.core.routing.CandidateEstimate;
 import org.damaskmoor.core.routing.Choice;
 import org.damaskmoor.core.routing.KeyScope;
-import org.damaskmoor.core.routing.RequestView;
 import org.damaskmoor.core.routing.Router;
+import org.damaskmoor.core.routing.RoutingRequest;
 import org.damaskmoor.core.routing.Target;
 import org.damaskmoor.schema.mesh.LoadReport;
 import org.damaskmoor.schema.mesh.RefusalReason;
@@ -76,8 +76,8 @@
     }
 
     @Override
-    public void onLoadHeard(TargetId target, LoadReport load, long now) {
-        router.onLoadHeard(target, old(target, load, now), now);
+    public void onLoadReport(TargetId target, LoadReport load, long now) {
+        router.onLoadReport(target, old(target, load, now), now);
     }
 
     @Override
@@ -86,7 +86,7 @@
     }
 
     @Override
-    public Optional<Choice> choose(RequestView request, Set<NodeId> excluded, long now) {
+    public Optional<Choice> choose(RoutingRequest request, Set<NodeId> excluded, long now) {
         return router.choose(request, excluded, now);
     }
 
@@ -107,8 +107,8 @@
     }
 
     @Override
-    public void onSummaryHeard(RegionSummary summary, long now) {
-        router.onSummaryHeard(summary, now);
+    public void onRegionSummary(RegionSummary summary, long now) {
+        router.onRegionSummary(summary, now);
     }
 
     @Override
@@ -117,12 +117,12 @@
     }
 
     @Override
-    public List<CandidateWeight> explain(long now) {
+    public List<CandidateEstimate> explain(long now) {
         return router.explain(now);
     }
 
     @Override
-    public boolean regionHeadroomGone() {
-        return router.regionHeadroomGone();
+    public boolean isRegionHeadroomExhausted() {
+        return router.isRegionHeadroomExhausted();
     }
 }
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/Policy.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/Policy.java
@@ -51,7 +51,7 @@
             case RANDOM -> ChoicePolicies.random();
             case ROUND_ROBIN -> ChoicePolicies.roundRobin();
             case LEAST_OWN_REQUESTS -> ChoicePolicies.leastOwnRequests();
-            case TWO_CHOICES -> ChoicePolicies.twoChoices();
+            case TWO_CHOICES -> ChoicePolicies.powerOfTwoChoices();
         };
     }
 }
--- a/bench/src/main/java/org/damaskmoor/bench/micro/AdmissionBenchmark.java
+++ b/bench/src/main/java/org/damaskmoor/bench/micro/AdmissionBenchmark.java
@@ -2,11 +2,11 @@
 
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import org.damaskmoor.core.admission.Admission;
 import org.damaskmoor.core.admission.AdmissionController;
 import org.damaskmoor.core.admission.AdmissionOptions;
 import org.damaskmoor.core.admission.AdmissionOutcome;
-import org.damaskmoor.core.admission.NextAdmissions;
+import org.damaskmoor.core.admission.AdmissionRequest;
+import org.damaskmoor.core.admission.DequeuedRequests;
 import org.damaskmoor.core.id.CallerName;
 import org.damaskmoor.core.id.Incarnation;
 import org.damaskmoor.core.id.NodeId;
@@ -57,9 +57,9 @@
     @Setup
     public void setUp() {
         controller = AdmissionController.create(new AdmissionOptions(0, QUEUE_LIMIT, Map.of()));
-        controller.onUpstream(UpstreamState.SERVING, SLOTS, 250);
+        controller.onUpstreamState(UpstreamState.SERVING, SLOTS, 250);
         running = request().id();
-        controller.offer(new Admission(running, CALLER, 1, 1, Long.MAX_VALUE), now);
+        controller.offer(new AdmissionRequest(running, CALLER, 1, 1, Long.MAX_VALUE), now);
         for (int i = 1; i < SLOTS + waiting; i++) {
             controller.offer(request(), now);
         }
@@ -67,18 +67,18 @@
 
     /** One offered, one ended, one handed over. */
     @Benchmark
-    public NextAdmissions turn() {
+    public DequeuedRequests turn() {
         now += STEP_NANOSECONDS;
         controller.offer(request(), now);
-        controller.finished(running, LATENCY_NANOSECONDS, AdmissionOutcome.ANSWERED, now);
-        NextAdmissions next = controller.next(now);
+        controller.onFinished(running, LATENCY_NANOSECONDS, AdmissionOutcome.ANSWERED, now);
+        DequeuedRequests next = controller.dequeue(now);
         running = next.admitted().get(0).id();
         return next;
     }
 
-    private Admission request() {
+    private AdmissionRequest request() {
         RequestId id = new RequestId(ENTRY, INCARNATION, ++sequence);
         long deadline = now + TimeUnit.SECONDS.toNanos(5);
-        return new Admission(id, CALLER, 1, 1, deadline);
+        return new AdmissionRequest(id, CALLER, 1, 1, deadline);
     }
 }
--- a/bench/src/main/java/org/damaskmoor/bench/micro/ChoiceBenchmark.java
+++ b/bench/src/main/java/org/damaskmoor/bench/micro/ChoiceBenchmark.java
@@ -13,9 +13,9 @@
 import org.damaskmoor.core.id.TargetId;
 import org.damaskmoor.core.routing.Choice;
 import org.damaskmoor.core.routing.ChoicePolicies;
-import org.damaskmoor.core.routing.RequestView;
 import org.damaskmoor.core.routing.Router;
 import org.damaskmoor.core.routing.RoutingOptions;
+import org.damaskmoor.core.routing.RoutingRequest;
 import org.damaskmoor.core.routing.Target;
 import org.damaskmoor.schema.mesh.LoadReport;
 import org.damaskmoor.schema.mesh.UpstreamState;
@@ -51,7 +51,7 @@
     @Param({"40", "300"})
     private int candidates;
 
-    private final RequestView request = new RequestView(false, TimeUnit.SECONDS.toNanos(5));
+    private final RoutingRequest request = new RoutingRequest(false, TimeUnit.SECONDS.toNanos(5));
     private Router router;
     private LoadReport report;
     private long now;
@@ -75,7 +75,7 @@
                         .build();
         List<Target> targets = targets();
         router.updateTargets(targets, now);
-        targets.forEach(target -> router.onLoadHeard(target.id(), report, now));
+        targets.forEach(target -> router.onLoadReport(target.id(), report, now));
         targets.forEach(target -> router.onSent(target.id(), now));
     }
 
--- a/bench/src/main/java/org/damaskmoor/bench/slope/SlopeMember.java
+++ b/bench/src/main/java/org/damaskmoor/bench/slope/SlopeMember.java
@@ -115,12 +115,12 @@
     }
 
     void startLeaving(long nowMilliseconds) {
-        protocol.announceSelf(UpstreamState.LEAVING, 10, nowMilliseconds);
+        protocol.announceUpstream(UpstreamState.LEAVING, 10, nowMilliseconds);
     }
 
     void spread(ConfigurationVersion version) {
         versions.put(version.getService(), version.getVersion());
-        protocol.spread(version);
+        protocol.broadcast(version);
     }
 
     boolean knowsLeaving(NodeId member) {
@@ -135,7 +135,7 @@
 
     /** Changes the own record, as a start, a stop or another load does. */
     void change(int capacity, long nowMilliseconds) {
-        protocol.announceSelf(UpstreamState.SERVING, capacity, nowMilliseconds);
+        protocol.announceUpstream(UpstreamState.SERVING, capacity, nowMilliseconds);
     }
 
     @Override
--- a/core/src/main/java/org/damaskmoor/core/accounting/EndedRequest.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/CompletedRequest.java
@@ -13,14 +13,14 @@
  * @param end how it ended
  * @param latencyMilliseconds from its arrival to the end
  */
-public record EndedRequest(
+public record CompletedRequest(
         ServiceName service,
         String kind,
         long epochMinute,
         long weight,
-        RequestEnd end,
+        RequestOutcome end,
         long latencyMilliseconds) {
-    public EndedRequest {
+    public CompletedRequest {
         Objects.requireNonNull(service, "service");
         Objects.requireNonNull(kind, "kind");
         Objects.requireNonNull(end, "end");
--- a/core/src/main/java/org/damaskmoor/core/accounting/ObjectWriteQueue.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/ObjectWriteQueue.java
@@ -12,7 +12,7 @@
  * written or stood already; the pause after failures doubles up to a bound. Whoever adds bounds the
  * length. Not thread-safe.
  */
-public final class ObjectWriteQueue implements ObjectWrites {
+public final class ObjectWriteQueue implements ObjectWriteSource {
     private static final int LONGEST_PAUSE_FACTOR = 64;
 
     private record Batch(ArrayDeque<NamedObject> objects, Runnable whenWritten) {}
--- a/core/src/main/java/org/damaskmoor/core/accounting/ObjectWrites.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/ObjectWriteSource.java
@@ -7,7 +7,7 @@
  * of {@link #onWritten} and {@link #onFailed} has to follow before it gives another. Not
  * thread-safe.
  */
-public interface ObjectWrites {
+public interface ObjectWriteSource {
     /** The object to write now, if any. */
     Optional<NamedObject> next(long nowNanoseconds);
 
--- a/core/src/main/java/org/damaskmoor/core/accounting/RefusalLedger.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/RefusalCounters.java
@@ -18,7 +18,7 @@
  * <p>Invariants: no refusal is lost or counted twice by folding; keys never exceed five quarters of
  * {@code maximumKeys} by more than one per reason and hour. Not thread-safe.
  */
-public final class RefusalLedger {
+public final class RefusalCounters {
     /** Stands for the callers, or services, that were folded together at the bound. */
     public static final String FOLDED = "(folded)";
 
@@ -39,7 +39,7 @@
     private long folded;
 
     /** An empty ledger; {@code maximumKeys} is the bound at which callers are folded. */
-    public RefusalLedger(int maximumKeys) {
+    public RefusalCounters(int maximumKeys) {
         if (maximumKeys < 1) {
             throw new IllegalArgumentException(
                     "A ledger needs room for a key, but the bound was " + maximumKeys + ".");
--- a/core/src/main/java/org/damaskmoor/core/accounting/RefusalFlusher.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/RefusalFlusher.java
@@ -23,11 +23,11 @@
  *
  * <p>Invariant: a group is reported as flushed only when all of its objects stand. Not thread-safe.
  */
-public final class RefusalFlusher implements ObjectWrites {
+public final class RefusalFlusher implements ObjectWriteSource {
     private static final long DEGRADED_INTERVAL_NANOSECONDS = TimeUnit.SECONDS.toNanos(15);
 
-    private final RefusalWriter writer;
-    private final RefusalBuddy buddy;
+    private final RefusalReplicator writer;
+    private final RefusalReplica buddy;
     private final ObjectWriteQueue queue;
     private final long intervalNanoseconds;
     private long nextFlushNanoseconds;
@@ -40,8 +40,8 @@
      * @param random sets the first flush within the interval
      */
     public RefusalFlusher(
-            RefusalWriter writer,
-            RefusalBuddy buddy,
+            RefusalReplicator writer,
+            RefusalReplica buddy,
             ObjectWriteQueue queue,
             long intervalNanoseconds,
             RandomGenerator random,
@@ -61,7 +61,7 @@
             nextFlushNanoseconds = nowNanoseconds + intervalNanoseconds;
             flush(nowNanoseconds);
         }
-        buddy.takeAbandoned()
+        buddy.takeOrphaned()
                 .forEach(
                         group -> queue.add(RefusalObjects.of(group), () -> buddy.onFlushed(group)));
     }
--- a/core/src/main/java/org/damaskmoor/core/accounting/RefusalGroup.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/RefusalGroup.java
@@ -21,7 +21,7 @@
  * @param last sequence of the last batch
  * @param counts the sums
  * @param gaps refusals that were answered before a peer had stored them
- * @param folded refusals counted under {@link RefusalLedger#FOLDED}
+ * @param folded refusals counted under {@link RefusalCounters#FOLDED}
  */
 public record RefusalGroup(
         NodeId owner,
--- a/core/src/main/java/org/damaskmoor/core/accounting/RefusalBuddy.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/RefusalReplica.java
@@ -27,7 +27,7 @@
  * it in its group is held; keys never exceed the bound by more than one batch. An owner wrongly
  * taken for dead costs a double flush, which readers count once. Not thread-safe.
  */
-public final class RefusalBuddy {
+public final class RefusalReplica {
     private record Owner(NodeId node, Incarnation incarnation) {}
 
     private static final class Held {
@@ -47,7 +47,7 @@
      * @param maximumKeys keys of all owners at which batches are answered with "full"
      * @param maximumKeysPerGroup keys at which callers of one group are folded
      */
-    public RefusalBuddy(int maximumKeys, int maximumKeysPerGroup) {
+    public RefusalReplica(int maximumKeys, int maximumKeysPerGroup) {
         this.maximumKeys = maximumKeys;
         this.maximumKeysPerGroup = maximumKeysPerGroup;
     }
@@ -77,7 +77,7 @@
         if (group == null) {
             group = new OpenGroup(owner.node(), owner.incarnation(), first, maximumKeysPerGroup);
         }
-        boolean taken = group.take(batch);
+        boolean taken = group.append(batch);
         if (taken) {
             held.groups.put(first, group);
         }
@@ -111,7 +111,7 @@
     }
 
     /** An incarnation of a node died or left: what it did not flush is abandoned. */
-    public void onOwnerGone(NodeId node, Incarnation incarnation) {
+    public void onOwnerDown(NodeId node, Incarnation incarnation) {
         Held held = owners.get(new Owner(node, incarnation));
         if (held != null) {
             held.gone = true;
@@ -119,7 +119,7 @@
     }
 
     /** A node that was taken for dead is alive after all. */
-    public void onOwnerBack(NodeId node, Incarnation incarnation) {
+    public void onOwnerUp(NodeId node, Incarnation incarnation) {
         Held held = owners.get(new Owner(node, incarnation));
         if (held != null) {
             held.gone = false;
@@ -127,7 +127,7 @@
     }
 
     /** Groups to flush for owners that are gone; each state of a group is handed out once. */
-    public List<RefusalGroup> takeAbandoned() {
+    public List<RefusalGroup> takeOrphaned() {
         List<RefusalGroup> abandoned = new ArrayList<>();
         Iterator<Held> iterator = owners.values().iterator();
         while (iterator.hasNext()) {
@@ -151,7 +151,7 @@
         }
     }
 
-    /** A group that {@link #takeAbandoned} handed out stands in the object store. */
+    /** A group that {@link #takeOrphaned} handed out stands in the object store. */
     public void onFlushed(RefusalGroup group) {
         Held held = owners.get(new Owner(group.owner(), group.incarnation()));
         if (held == null) {
@@ -173,7 +173,7 @@
     }
 
     /** Incarnations of nodes that something is kept of. */
-    public int owners() {
+    public int ownerCount() {
         return owners.size();
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/accounting/RefusalWriter.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/RefusalReplicator.java
@@ -10,9 +10,9 @@
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
 import org.damaskmoor.core.accounting.internal.OpenGroup;
-import org.damaskmoor.core.accounting.internal.PeerProgress;
-import org.damaskmoor.core.accounting.internal.WaitingRefusals;
-import org.damaskmoor.core.accounting.internal.WaitingRefusals.Ticket;
+import org.damaskmoor.core.accounting.internal.PendingRefusals;
+import org.damaskmoor.core.accounting.internal.PendingRefusals.Ticket;
+import org.damaskmoor.core.accounting.internal.ReplicationProgress;
 import org.damaskmoor.core.id.Incarnation;
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.schema.mesh.RefusalBatch;
@@ -35,25 +35,25 @@
  *
  * <p>Invariants: every refusal is in exactly one batch; a sequence is used once; an incremental
  * batch goes only to a peer that was sent all before it in its group; memory is bounded by {@link
- * RefusalWriterLimits}, also in an outage of hours, since at most one closed and one open group
+ * RefusalReplicatorLimits}, also in an outage of hours, since at most one closed and one open group
  * exist. Not thread-safe: one thread calls everything, and tickets complete on it.
  */
-public final class RefusalWriter {
+public final class RefusalReplicator {
     private static final int FLUSH_NOTICES = 3;
     private static final int SILENT_PEERS = 4;
     private static final int LONGEST_PROBE_PAUSE_FACTOR = 32;
 
     private final NodeId self;
     private final Incarnation incarnation;
-    private final RefusalWriterLimits limits;
+    private final RefusalReplicatorLimits limits;
     private final Supplier<List<NodeId>> peers;
     private final RefusalBatchSender sender;
     private final RandomGenerator random;
-    private final PeerProgress progress = new PeerProgress();
-    private final WaitingRefusals waiting = new WaitingRefusals();
+    private final ReplicationProgress progress = new ReplicationProgress();
+    private final PendingRefusals waiting = new PendingRefusals();
     private final Map<NodeId, Integer> noticesDue = new HashMap<>();
 
-    private RefusalLedger pending;
+    private RefusalCounters pending;
     private List<Ticket> pendingTickets = new ArrayList<>();
     private long pendingSinceNanoseconds;
     private OpenGroup group;
@@ -71,10 +71,10 @@
      * @param peers the nodes of other data centres that can be asked now
      * @param random chooses among them
      */
-    public RefusalWriter(
+    public RefusalReplicator(
             NodeId self,
             Incarnation incarnation,
-            RefusalWriterLimits limits,
+            RefusalReplicatorLimits limits,
             Supplier<List<NodeId>> peers,
             RefusalBatchSender sender,
             RandomGenerator random) {
@@ -84,7 +84,7 @@
         this.peers = Objects.requireNonNull(peers, "peers");
         this.sender = Objects.requireNonNull(sender, "sender");
         this.random = Objects.requireNonNull(random, "random");
-        pending = new RefusalLedger(limits.maximumKeys());
+        pending = new RefusalCounters(limits.maximumKeys());
         group = newGroup();
     }
 
@@ -109,7 +109,7 @@
      *
      * @param answered their counts, each noted as a gap too
      */
-    public void recordAnswered(RefusalLedger answered, long nowNanoseconds) {
+    public void recordAlreadyAnswered(RefusalCounters answered, long nowNanoseconds) {
         if (pending.isEmpty()) {
             pendingSinceNanoseconds = nowNanoseconds;
         }
@@ -125,7 +125,7 @@
         declareGaps(limits.gapNanoseconds(), nowNanoseconds);
         if (degraded) {
             probe(nowNanoseconds);
-        } else if (progress.isSilentFor(limits.silenceNanoseconds(), nowNanoseconds)) {
+        } else if (progress.isUnresponsiveFor(limits.silenceNanoseconds(), nowNanoseconds)) {
             replaceSilentPeer(nowNanoseconds);
         }
     }
@@ -151,9 +151,9 @@
 
     private void noteProgress(long sequence, boolean ofOpenGroup, long nowNanoseconds) {
         if (ofOpenGroup) {
-            progress.held(sequence, nowNanoseconds);
+            progress.onAcknowledged(sequence, nowNanoseconds);
         } else if (closed != null && sequence >= closed.last()) {
-            progress.heldClosed();
+            progress.onClosedGroupAcknowledged();
         }
     }
 
@@ -189,7 +189,7 @@
         }
         closed = group.snapshot();
         group = newGroup();
-        progress.closed(closed.last(), nowNanoseconds);
+        progress.onGroupClosed(closed.last(), nowNanoseconds);
         return Optional.of(closed);
     }
 
@@ -198,7 +198,7 @@
         flushedThrough = closed.last();
         List<Ticket> flushed = waiting.takeStored(closed.first(), closed.last());
         closed = null;
-        progress.heldClosed();
+        progress.onClosedGroupAcknowledged();
         RefusalBatch notice =
                 RefusalBatch.newBuilder()
                         .setNodeId(self.value())
@@ -231,16 +231,16 @@
 
     private void sealBatch(long nowNanoseconds) {
         RefusalBatch batch = nextBatch();
-        group.take(batch);
+        group.append(batch);
         waiting.add(batch.getSequence(), group.first(), pendingSinceNanoseconds, pendingTickets);
-        pending = new RefusalLedger(limits.maximumKeys());
+        pending = new RefusalCounters(limits.maximumKeys());
         pendingTickets = new ArrayList<>();
         if (degraded) {
             return;
         }
         if (peer != null && progress.wasSentThrough(batch.getSequence() - 1)) {
             send(batch);
-            progress.sent(batch.getSequence(), nowNanoseconds);
+            progress.onBatchSent(batch.getSequence(), nowNanoseconds);
         } else {
             changePeer(nowNanoseconds);
         }
@@ -262,7 +262,7 @@
     }
 
     private void replaceSilentPeer(long nowNanoseconds) {
-        if (progress.silentPeers() >= SILENT_PEERS) {
+        if (progress.unresponsivePeers() >= SILENT_PEERS) {
             degrade(nowNanoseconds);
         } else {
             changePeer(nowNanoseconds);
@@ -290,7 +290,7 @@
         if (!group.isEmpty()) {
             send(group.snapshot().toBatch(flushedThrough));
         }
-        progress.sentEverything(
+        progress.onEverythingSent(
                 nextSequence - 1, group.first() - 1, closed != null, nowNanoseconds);
     }
 
--- a/core/src/main/java/org/damaskmoor/core/accounting/RefusalWriterLimits.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/RefusalReplicatorLimits.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Bounds and times of a {@link RefusalWriter}. Immutable and thread-safe.
+ * Bounds and times of a {@link RefusalReplicator}. Immutable and thread-safe.
  *
  * @param groupingNanoseconds how long refusals are gathered into one batch
  * @param silenceNanoseconds silence of a peer after which another is asked
@@ -12,7 +12,7 @@
  * @param waitingRefusals most refusals that wait for a peer
  * @param maximumKeys keys at which callers are folded
  */
-public record RefusalWriterLimits(
+public record RefusalReplicatorLimits(
         long groupingNanoseconds,
         long silenceNanoseconds,
         long gapNanoseconds,
@@ -20,8 +20,8 @@
         int waitingRefusals,
         int maximumKeys) {
     /** Limits that fit a node. */
-    public static RefusalWriterLimits defaults() {
-        return new RefusalWriterLimits(
+    public static RefusalReplicatorLimits defaults() {
+        return new RefusalReplicatorLimits(
                 TimeUnit.MILLISECONDS.toNanos(1),
                 TimeUnit.MILLISECONDS.toNanos(80),
                 TimeUnit.MILLISECONDS.toNanos(250),
--- a/core/src/main/java/org/damaskmoor/core/accounting/RequestLedger.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/RequestCounters.java
@@ -10,19 +10,19 @@
  * Counts ended requests by service, kind and minute in bounded memory, for service levels.
  *
  * <p>At {@code maximumKeys} a new key is counted under service and kind {@link
- * RefusalLedger#FOLDED} of its hour; {@link #folded()} tells how many requests that happened to.
+ * RefusalCounters#FOLDED} of its hour; {@link #folded()} tells how many requests that happened to.
  *
  * <p>Invariant: every request is counted once; keys never exceed the bound by more than one per
  * hour. Not thread-safe.
  */
-public final class RequestLedger {
+public final class RequestCounters {
     private static final int MINUTES_PER_HOUR = 60;
 
     private record Key(String service, String kind, long epochMinute) {}
 
     private static final class Amounts {
         private long requests;
-        private final Map<RequestEnd, Long> weightByEnd = new EnumMap<>(RequestEnd.class);
+        private final Map<RequestOutcome, Long> weightByEnd = new EnumMap<>(RequestOutcome.class);
         private final long[] buckets = new long[LatencyBuckets.COUNT];
     }
 
@@ -31,12 +31,12 @@
     private long folded;
 
     /** An empty ledger; {@code maximumKeys} is the bound at which kinds are folded. */
-    public RequestLedger(int maximumKeys) {
+    public RequestCounters(int maximumKeys) {
         this.maximumKeys = maximumKeys;
     }
 
     /** Counts one request. */
-    public void add(EndedRequest request) {
+    public void add(CompletedRequest request) {
         Key key = keyWithinBounds(request);
         Amounts sums = amounts.computeIfAbsent(key, unused -> new Amounts());
         sums.requests++;
@@ -44,7 +44,7 @@
         sums.buckets[LatencyBuckets.indexOf(request.latencyMilliseconds())]++;
     }
 
-    private Key keyWithinBounds(EndedRequest request) {
+    private Key keyWithinBounds(CompletedRequest request) {
         Key key = new Key(request.service().value(), request.kind(), request.epochMinute());
         if (amounts.containsKey(key) || amounts.size() < maximumKeys) {
             return key;
@@ -52,8 +52,8 @@
         folded++;
         long minute = request.epochMinute();
         return new Key(
-                RefusalLedger.FOLDED,
-                RefusalLedger.FOLDED,
+                RefusalCounters.FOLDED,
+                RefusalCounters.FOLDED,
                 minute - Math.floorMod(minute, MINUTES_PER_HOUR));
     }
 
@@ -71,11 +71,11 @@
                         .setKind(key.kind())
                         .setEpochMinute(key.epochMinute())
                         .setRequests(sums.requests)
-                        .setAnsweredInTimeWeight(weight(sums, RequestEnd.ANSWERED_IN_TIME))
-                        .setLateWeight(weight(sums, RequestEnd.LATE))
-                        .setRefusedWeight(weight(sums, RequestEnd.REFUSED))
-                        .setUnknownWeight(weight(sums, RequestEnd.UNKNOWN))
-                        .setFailedWeight(weight(sums, RequestEnd.FAILED));
+                        .setAnsweredInTimeWeight(weight(sums, RequestOutcome.ANSWERED_IN_TIME))
+                        .setLateWeight(weight(sums, RequestOutcome.LATE))
+                        .setRefusedWeight(weight(sums, RequestOutcome.REFUSED))
+                        .setUnknownWeight(weight(sums, RequestOutcome.UNKNOWN))
+                        .setFailedWeight(weight(sums, RequestOutcome.FAILED));
         long total = sums.weightByEnd.values().stream().mapToLong(Long::longValue).sum();
         for (long bucket : sums.buckets) {
             count.addLatencyBuckets(bucket);
@@ -83,11 +83,11 @@
         return count.setWeight(total).build();
     }
 
-    private static long weight(Amounts sums, RequestEnd end) {
+    private static long weight(Amounts sums, RequestOutcome end) {
         return sums.weightByEnd.getOrDefault(end, 0L);
     }
 
-    /** How many requests were counted under {@link RefusalLedger#FOLDED}. */
+    /** How many requests were counted under {@link RefusalCounters#FOLDED}. */
     public long folded() {
         return folded;
     }
--- a/core/src/main/java/org/damaskmoor/core/accounting/RequestFlusher.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/RequestFlusher.java
@@ -13,7 +13,7 @@
  * Counts ended requests and flushes the counts to the object store, at most once in an interval.
  *
  * <p>There is no write-ahead: a node that dies loses the request counts of one interval (its
- * refusals are kept by {@link RefusalWriter}). While the store is down, counts gather in one
+ * refusals are kept by {@link RefusalReplicator}). While the store is down, counts gather in one
  * ledger, folded at its bound. At an interval of a minute, 2,800 nodes write about 47 objects a
  * second.
  *
@@ -21,7 +21,7 @@
  * its requests are in no other flush. Names: {@code requests/{epoch
  * hour}/{node}/{incarnation}/{sequence}}. Not thread-safe.
  */
-public final class RequestFlusher implements ObjectWrites {
+public final class RequestFlusher implements ObjectWriteSource {
     /** Start of the names of all request objects. */
     public static final String PREFIX = "requests/";
 
@@ -32,7 +32,7 @@
     private final ObjectWriteQueue queue;
     private final long intervalNanoseconds;
     private final int maximumKeys;
-    private RequestLedger ledger;
+    private RequestCounters ledger;
     private long nextSequence = 1;
     private long nextFlushNanoseconds;
 
@@ -55,7 +55,7 @@
         this.queue = queue;
         this.intervalNanoseconds = intervalNanoseconds;
         this.maximumKeys = maximumKeys;
-        ledger = new RequestLedger(maximumKeys);
+        ledger = new RequestCounters(maximumKeys);
         nextFlushNanoseconds = nowNanoseconds + random.nextLong(intervalNanoseconds);
     }
 
@@ -65,7 +65,7 @@
     }
 
     /** Counts one request. */
-    public void record(EndedRequest request) {
+    public void record(CompletedRequest request) {
         ledger.add(request);
     }
 
@@ -83,7 +83,7 @@
             return;
         }
         List<NamedObject> objects = objects(nextSequence++);
-        ledger = new RequestLedger(maximumKeys);
+        ledger = new RequestCounters(maximumKeys);
         queue.add(objects, () -> {});
     }
 
--- a/core/src/main/java/org/damaskmoor/core/accounting/RequestEnd.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/RequestOutcome.java
@@ -1,7 +1,7 @@
 package org.damaskmoor.core.accounting;
 
 /** How a request ended, as the service level counts it. */
-public enum RequestEnd {
+public enum RequestOutcome {
     /** Answered whole within the latency objective. */
     ANSWERED_IN_TIME,
     /** Answered whole, but past the latency objective. */
--- a/core/src/main/java/org/damaskmoor/core/accounting/internal/OpenGroup.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/internal/OpenGroup.java
@@ -1,7 +1,7 @@
 package org.damaskmoor.core.accounting.internal;
 
+import org.damaskmoor.core.accounting.RefusalCounters;
 import org.damaskmoor.core.accounting.RefusalGroup;
-import org.damaskmoor.core.accounting.RefusalLedger;
 import org.damaskmoor.core.id.Incarnation;
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.schema.mesh.RefusalBatch;
@@ -16,7 +16,7 @@
     private final Incarnation incarnation;
     private final long first;
     private final int maximumKeys;
-    private RefusalLedger ledger;
+    private RefusalCounters ledger;
     private long last;
 
     public OpenGroup(NodeId owner, Incarnation incarnation, long first, int maximumKeys) {
@@ -24,7 +24,7 @@
         this.incarnation = incarnation;
         this.first = first;
         this.maximumKeys = maximumKeys;
-        ledger = new RefusalLedger(maximumKeys);
+        ledger = new RefusalCounters(maximumKeys);
         last = first - 1;
     }
 
@@ -48,12 +48,12 @@
      * Takes a batch in. {@code false}: batches before it are missing, so it was not taken; a batch
      * that is covered already changes nothing.
      */
-    public boolean take(RefusalBatch batch) {
+    public boolean append(RefusalBatch batch) {
         if (batch.getSequence() <= last) {
             return true;
         }
         if (batch.getFirstSequence() == first) {
-            ledger = new RefusalLedger(maximumKeys);
+            ledger = new RefusalCounters(maximumKeys);
         } else if (batch.getFirstSequence() != last + 1) {
             return false;
         }
--- a/core/src/main/java/org/damaskmoor/core/accounting/internal/WaitingRefusals.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/internal/PendingRefusals.java
@@ -12,7 +12,7 @@
  *
  * <p>Invariant: each ticket is completed once, after it was taken out. Not thread-safe.
  */
-public final class WaitingRefusals {
+public final class PendingRefusals {
     /**
      * One refusal that waits.
      *
--- a/core/src/main/java/org/damaskmoor/core/accounting/internal/PeerProgress.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/internal/ReplicationProgress.java
@@ -6,7 +6,7 @@
  * <p>Invariant: {@code held <= sent} for the open group; the closed group is held whole or not. Not
  * thread-safe.
  */
-public final class PeerProgress {
+public final class ReplicationProgress {
     private long sentThrough;
     private long heldThrough;
     private long waitingSinceNanoseconds;
@@ -20,7 +20,7 @@
     }
 
     /** The next batch of the open group was sent. */
-    public void sent(long sequence, long nowNanoseconds) {
+    public void onBatchSent(long sequence, long nowNanoseconds) {
         if (heldThrough >= sentThrough) {
             waitingSinceNanoseconds = nowNanoseconds;
         }
@@ -28,7 +28,7 @@
     }
 
     /** A peer, perhaps a new one, was sent all that is not flushed. */
-    public void sentEverything(
+    public void onEverythingSent(
             long sequence, long heldBefore, boolean closed, long nowNanoseconds) {
         sentThrough = sequence;
         heldThrough = heldBefore;
@@ -39,14 +39,14 @@
     }
 
     /** The open group up to {@code last} became the closed one. */
-    public void closed(long last, long nowNanoseconds) {
+    public void onGroupClosed(long last, long nowNanoseconds) {
         closedHeld = heldThrough >= last;
         closedSentNanoseconds = nowNanoseconds;
         heldThrough = last;
     }
 
     /** The peer holds the open group up to a sequence. */
-    public void held(long sequence, long nowNanoseconds) {
+    public void onAcknowledged(long sequence, long nowNanoseconds) {
         silentPeers = 0;
         if (sequence > heldThrough) {
             heldThrough = sequence;
@@ -55,13 +55,13 @@
     }
 
     /** The peer holds the closed group whole. */
-    public void heldClosed() {
+    public void onClosedGroupAcknowledged() {
         silentPeers = 0;
         closedHeld = true;
     }
 
     /** Whether something sent has not been held for that long without any progress. */
-    public boolean isSilentFor(long nanoseconds, long nowNanoseconds) {
+    public boolean isUnresponsiveFor(long nanoseconds, long nowNanoseconds) {
         boolean openIsLate =
                 heldThrough < sentThrough
                         && nowNanoseconds - waitingSinceNanoseconds >= nanoseconds;
@@ -70,7 +70,7 @@
     }
 
     /** Peers that were sent everything since one last answered. */
-    public int silentPeers() {
+    public int unresponsivePeers() {
         return silentPeers;
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/admission/AdmissionController.java
+++ b/core/src/main/java/org/damaskmoor/core/admission/AdmissionController.java
@@ -1,6 +1,6 @@
 package org.damaskmoor.core.admission;
 
-import org.damaskmoor.core.admission.internal.UpstreamAdmission;
+import org.damaskmoor.core.admission.internal.UpstreamAdmissionController;
 import org.damaskmoor.core.id.RequestId;
 import org.damaskmoor.schema.mesh.LoadReport;
 import org.damaskmoor.schema.mesh.UpstreamState;
@@ -23,35 +23,35 @@
 public interface AdmissionController {
     /** A controller for an upstream that has not announced itself yet. */
     static AdmissionController create(AdmissionOptions options) {
-        return new UpstreamAdmission(options);
+        return new UpstreamAdmissionController(options);
     }
 
     /** The configuration has changed. */
     void configure(AdmissionOptions options);
 
     /** The upstream announced itself, or its announcement lapsed ({@code ABSENT}). */
-    void onUpstream(UpstreamState state, int slots, int connections);
+    void onUpstreamState(UpstreamState state, int slots, int connections);
 
     /** Refuses new requests from now on; those that wait and those in flight still run. */
     void drain();
 
     /** Whether nothing waits and nothing is in flight. */
-    boolean idle();
+    boolean isIdle();
 
     /** A request asks to be handed over. An id must not be offered again while it is here. */
-    Offer offer(Admission request, long nowNanoseconds);
+    AdmissionDecision offer(AdmissionRequest request, long nowNanoseconds);
 
     /**
-     * What may be handed over now, and what waited in vain. Call it after {@link #finished}, after
-     * {@link #onUpstream}, and every few milliseconds while anything waits.
+     * What may be handed over now, and what waited in vain. Call it after {@link #onFinished},
+     * after {@link #onUpstreamState}, and every few milliseconds while anything waits.
      */
-    NextAdmissions next(long nowNanoseconds);
+    DequeuedRequests dequeue(long nowNanoseconds);
 
     /** Takes a waiting request out. False: it does not wait here. */
     boolean cancel(RequestId id);
 
     /** A request that was handed over ended, {@code latencyNanoseconds} after that. */
-    void finished(
+    void onFinished(
             RequestId id, long latencyNanoseconds, AdmissionOutcome outcome, long nowNanoseconds);
 
     /** The load of this instant. */
--- a/core/src/main/java/org/damaskmoor/core/admission/Offer.java
+++ b/core/src/main/java/org/damaskmoor/core/admission/AdmissionDecision.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /** What became of an offered request. Immutable and thread-safe. */
-public sealed interface Offer {
+public sealed interface AdmissionDecision {
     /** Hand it to the upstream now. */
-    record Admitted() implements Offer {}
+    record Admitted() implements AdmissionDecision {}
 
     /**
      * It waits.
      *
      * @param displaced requests that waited and are refused in favour of this one
      */
-    record Queued(List<Refusal> displaced) implements Offer {}
+    record Queued(List<Refusal> displaced) implements AdmissionDecision {}
 
     /** It is refused. */
-    record Refused(Refusal refusal) implements Offer {}
+    record Refused(Refusal refusal) implements AdmissionDecision {}
 }
--- a/core/src/main/java/org/damaskmoor/core/admission/Admission.java
+++ b/core/src/main/java/org/damaskmoor/core/admission/AdmissionRequest.java
@@ -13,9 +13,9 @@
  * @param importance from 0, shed first, to 3, shed last
  * @param deadlineNanoseconds when its answer is of no use any more, on the clock of all times
  */
-public record Admission(
+public record AdmissionRequest(
         RequestId id, CallerName caller, int weight, int importance, long deadlineNanoseconds) {
-    public Admission {
+    public AdmissionRequest {
         Objects.requireNonNull(id, "id");
         Objects.requireNonNull(caller, "caller");
         weight = Math.max(1, weight);
--- a/core/src/main/java/org/damaskmoor/core/admission/NextAdmissions.java
+++ b/core/src/main/java/org/damaskmoor/core/admission/DequeuedRequests.java
@@ -8,4 +8,4 @@
  * @param admitted to hand to the upstream now, in this order
  * @param refused to refuse as "not run"
  */
-public record NextAdmissions(List<Admission> admitted, List<Refusal> refused) {}
+public record DequeuedRequests(List<AdmissionRequest> admitted, List<Refusal> refused) {}
--- a/core/src/main/java/org/damaskmoor/core/admission/internal/CallerShares.java
+++ b/core/src/main/java/org/damaskmoor/core/admission/internal/CallerShares.java
@@ -2,8 +2,8 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import org.damaskmoor.core.admission.Admission;
 import org.damaskmoor.core.admission.AdmissionOptions;
+import org.damaskmoor.core.admission.AdmissionRequest;
 import org.damaskmoor.core.id.CallerName;
 
 /**
@@ -20,18 +20,18 @@
     private final Map<CallerName, Long> used = new HashMap<>();
     private long total;
 
-    void add(Admission request) {
+    void add(AdmissionRequest request) {
         used.merge(request.caller(), (long) request.weight(), Long::sum);
         total += request.weight();
     }
 
-    void remove(Admission request) {
+    void remove(AdmissionRequest request) {
         used.computeIfPresent(request.caller(), (unused, sum) -> less(sum, request.weight()));
         total -= request.weight();
     }
 
     /** Whether one more request would put its caller over its share. */
-    boolean over(Admission coming, AdmissionOptions options) {
+    boolean isOverShare(AdmissionRequest coming, AdmissionOptions options) {
         long usedAfter = used.getOrDefault(coming.caller(), 0L) + coming.weight();
         return excess(coming.caller(), usedAfter, coming, options) > TOLERANCE;
     }
@@ -40,7 +40,7 @@
      * The caller that is furthest over its share once one more request is here; null when all keep
      * within theirs.
      */
-    CallerName furthestOver(Admission coming, AdmissionOptions options) {
+    CallerName mostOverShare(AdmissionRequest coming, AdmissionOptions options) {
         CallerName furthest = null;
         double most = TOLERANCE;
         for (Map.Entry<CallerName, Long> entry : used.entrySet()) {
@@ -55,12 +55,15 @@
 
     /** What a caller uses as a part of its share; 1 is just its share. */
     private double excess(
-            CallerName caller, long usedByCaller, Admission coming, AdmissionOptions options) {
+            CallerName caller,
+            long usedByCaller,
+            AdmissionRequest coming,
+            AdmissionOptions options) {
         double share = (double) options.weightOf(caller) / weights(coming, options);
         return usedByCaller / (share * (total + coming.weight()));
     }
 
-    private long weights(Admission coming, AdmissionOptions options) {
+    private long weights(AdmissionRequest coming, AdmissionOptions options) {
         long weights = used.containsKey(coming.caller()) ? 0 : options.weightOf(coming.caller());
         for (CallerName active : used.keySet()) {
             weights += options.weightOf(active);
--- a/core/src/main/java/org/damaskmoor/core/admission/internal/ConcurrencyLimit.java
+++ b/core/src/main/java/org/damaskmoor/core/admission/internal/GradientConcurrencyLimit.java
@@ -18,7 +18,7 @@
  *
  * <p>Invariant: from 1 to the maximum. Not thread-safe.
  */
-final class ConcurrencyLimit {
+final class GradientConcurrencyLimit {
     private static final double TOLERANCE = 2.0;
     private static final double LEAST_STEP = 0.8;
     private static final double SHED_STEP = 0.9;
@@ -46,7 +46,7 @@
     }
 
     /** Sets the maximum. A first or raised one is granted at once. */
-    void bound(int newMaximum) {
+    void setMaximum(int newMaximum) {
         int bounded = Math.max(1, newMaximum);
         limit = bounded > maximum ? limit + (bounded - maximum) : Math.min(limit, bounded);
         maximum = bounded;
@@ -70,7 +70,7 @@
     }
 
     /** A whole answer came while {@code inFlight} requests, itself included, were out. */
-    void answered(long latencyNanoseconds, int inFlight) {
+    void onAnswered(long latencyNanoseconds, int inFlight) {
         sumNanoseconds += latencyNanoseconds;
         samples++;
         mostInFlight = Math.max(mostInFlight, inFlight);
@@ -83,7 +83,7 @@
     }
 
     /** The upstream shed a request. Those that it sheds together count once. */
-    void shed(long now) {
+    void onShed(long now) {
         if (shedSeen && now - shedAtNanoseconds < SHED_INTERVAL_NANOSECONDS) {
             return;
         }
--- a/core/src/main/java/org/damaskmoor/core/admission/internal/WaitingRequest.java
+++ b/core/src/main/java/org/damaskmoor/core/admission/internal/QueuedRequest.java
@@ -1,6 +1,6 @@
 package org.damaskmoor.core.admission.internal;
 
-import org.damaskmoor.core.admission.Admission;
+import org.damaskmoor.core.admission.AdmissionRequest;
 
 /**
  * A request in the queue. Immutable and thread-safe.
@@ -9,12 +9,12 @@
  * @param sequence its place in the order of arrival
  * @param queuedAtNanoseconds when it came
  */
-record WaitingRequest(Admission request, long sequence, long queuedAtNanoseconds)
-        implements Comparable<WaitingRequest> {
+record QueuedRequest(AdmissionRequest request, long sequence, long queuedAtNanoseconds)
+        implements Comparable<QueuedRequest> {
 
     /** Greater goes first: the more important, then the earlier deadline, then the earlier. */
     @Override
-    public int compareTo(WaitingRequest other) {
+    public int compareTo(QueuedRequest other) {
         int byImportance = Integer.compare(request.importance(), other.request.importance());
         if (byImportance != 0) {
             return byImportance;
--- a/core/src/main/java/org/damaskmoor/core/admission/internal/WaitingQueue.java
+++ b/core/src/main/java/org/damaskmoor/core/admission/internal/RequestQueue.java
@@ -12,8 +12,8 @@
  * <p>A sorted array with the first at its end: a few hundred requests at most, so that moving them
  * costs less than the nodes of a tree. Not thread-safe.
  */
-final class WaitingQueue {
-    private final List<WaitingRequest> ascending = new ArrayList<>();
+final class RequestQueue {
+    private final List<QueuedRequest> ascending = new ArrayList<>();
 
     int size() {
         return ascending.size();
@@ -24,26 +24,26 @@
     }
 
     /** How many would be handed over before the given one. */
-    int ahead(WaitingRequest waiting) {
+    int countAhead(QueuedRequest waiting) {
         return ascending.size() - insertionPoint(waiting);
     }
 
-    void add(WaitingRequest waiting) {
+    void add(QueuedRequest waiting) {
         ascending.add(insertionPoint(waiting), waiting);
     }
 
     /** The one to be handed over first. */
-    WaitingRequest first() {
+    QueuedRequest first() {
         return ascending.get(ascending.size() - 1);
     }
 
-    WaitingRequest removeFirst() {
+    QueuedRequest removeFirst() {
         return ascending.remove(ascending.size() - 1);
     }
 
     /** The one to be handed over last among those that match, or null. */
-    WaitingRequest last(Predicate<WaitingRequest> matching) {
-        for (WaitingRequest waiting : ascending) {
+    QueuedRequest findLast(Predicate<QueuedRequest> matching) {
+        for (QueuedRequest waiting : ascending) {
             if (matching.test(waiting)) {
                 return waiting;
             }
@@ -51,13 +51,13 @@
         return null;
     }
 
-    void remove(WaitingRequest waiting) {
+    void remove(QueuedRequest waiting) {
         ascending.remove(waiting);
     }
 
     /** Takes out the request with the given id, or returns null. */
-    WaitingRequest remove(RequestId id) {
-        WaitingRequest found = last(waiting -> waiting.request().id().equals(id));
+    QueuedRequest remove(RequestId id) {
+        QueuedRequest found = findLast(waiting -> waiting.request().id().equals(id));
         if (found != null) {
             ascending.remove(found);
         }
@@ -65,14 +65,14 @@
     }
 
     /** Takes out all that match, the first to be handed over first. */
-    List<WaitingRequest> removeAll(Predicate<WaitingRequest> matching) {
-        List<WaitingRequest> removed = new ArrayList<>();
+    List<QueuedRequest> removeAll(Predicate<QueuedRequest> matching) {
+        List<QueuedRequest> removed = new ArrayList<>();
         ascending.removeIf(waiting -> matching.test(waiting) && removed.add(waiting));
         Collections.reverse(removed);
         return removed;
     }
 
-    private int insertionPoint(WaitingRequest waiting) {
+    private int insertionPoint(QueuedRequest waiting) {
         return -Collections.binarySearch(ascending, waiting) - 1;
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/admission/internal/ServiceTime.java
+++ b/core/src/main/java/org/damaskmoor/core/admission/internal/ServiceTimeTracker.java
@@ -2,7 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import org.damaskmoor.core.admission.Admission;
+import org.damaskmoor.core.admission.AdmissionRequest;
 import org.damaskmoor.core.id.RequestId;
 
 /**
@@ -11,7 +11,7 @@
  * <p>The typical time is never below the mean age of what is in flight, so that an upstream that
  * has just become slow shows before its next answer. Not thread-safe.
  */
-final class ServiceTime {
+final class ServiceTimeTracker {
     private static final double NEWS_WEIGHT = 0.1;
 
     /** Some requests take long by nature; their age says only so much of the upstream. */
@@ -21,19 +21,19 @@
     private double meanNanoseconds;
     private long sumOfStartsNanoseconds;
 
-    private record Flight(Admission request, long startedAtNanoseconds) {}
+    private record Flight(AdmissionRequest request, long startedAtNanoseconds) {}
 
     int inFlight() {
         return flights.size();
     }
 
-    void started(Admission request, long now) {
+    void onStarted(AdmissionRequest request, long now) {
         flights.put(request.id(), new Flight(request, now));
         sumOfStartsNanoseconds += now;
     }
 
     /** The request that ended, or null when it was not in flight. */
-    Admission ended(RequestId id) {
+    AdmissionRequest onEnded(RequestId id) {
         Flight flight = flights.remove(id);
         if (flight == null) {
             return null;
@@ -42,7 +42,7 @@
         return flight.request;
     }
 
-    void answered(long latencyNanoseconds) {
+    void onAnswered(long latencyNanoseconds) {
         double weight = meanNanoseconds == 0 ? 1 : NEWS_WEIGHT;
         meanNanoseconds += weight * (latencyNanoseconds - meanNanoseconds);
     }
--- a/core/src/main/java/org/damaskmoor/core/admission/internal/UpstreamAdmission.java
+++ b/core/src/main/java/org/damaskmoor/core/admission/internal/UpstreamAdmissionController.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import org.damaskmoor.core.admission.Admission;
 import org.damaskmoor.core.admission.AdmissionController;
+import org.damaskmoor.core.admission.AdmissionDecision;
 import org.damaskmoor.core.admission.AdmissionOptions;
 import org.damaskmoor.core.admission.AdmissionOutcome;
-import org.damaskmoor.core.admission.NextAdmissions;
-import org.damaskmoor.core.admission.Offer;
+import org.damaskmoor.core.admission.AdmissionRequest;
+import org.damaskmoor.core.admission.DequeuedRequests;
 import org.damaskmoor.core.admission.Refusal;
 import org.damaskmoor.core.id.CallerName;
 import org.damaskmoor.core.id.RequestId;
@@ -22,7 +22,7 @@
  * <p>A request occupies one of the upstream's slots whatever its weight; its weight counts in its
  * caller's share. Capacity is short while the queue is at least half full. Not thread-safe.
  */
-public final class UpstreamAdmission implements AdmissionController {
+public final class UpstreamAdmissionController implements AdmissionController {
     /** A request expected to wait longer is better tried elsewhere. */
     private static final long LONGEST_WAIT_NANOSECONDS = TimeUnit.MILLISECONDS.toNanos(500);
 
@@ -31,10 +31,10 @@
     private static final long RETRY_AFTER_ABSENCE_MILLISECONDS = 1000;
     private static final double PER_THOUSAND = 1000;
 
-    private final ConcurrencyLimit limit = new ConcurrencyLimit();
-    private final WaitingQueue queue = new WaitingQueue();
+    private final GradientConcurrencyLimit limit = new GradientConcurrencyLimit();
+    private final RequestQueue queue = new RequestQueue();
     private final CallerShares shares = new CallerShares();
-    private final ServiceTime serviceTime = new ServiceTime();
+    private final ServiceTimeTracker serviceTime = new ServiceTimeTracker();
     private AdmissionOptions options;
     private UpstreamState state = UpstreamState.ABSENT;
     private int slots = 1;
@@ -43,23 +43,23 @@
     private double failureRate;
     private long sequence;
 
-    public UpstreamAdmission(AdmissionOptions options) {
+    public UpstreamAdmissionController(AdmissionOptions options) {
         this.options = options;
     }
 
     @Override
     public void configure(AdmissionOptions newOptions) {
         options = newOptions;
-        limit.bound(maximum());
+        limit.setMaximum(maximum());
     }
 
     @Override
-    public void onUpstream(UpstreamState newState, int newSlots, int newConnections) {
+    public void onUpstreamState(UpstreamState newState, int newSlots, int newConnections) {
         state = newState;
         if (newState != UpstreamState.ABSENT) {
             slots = newSlots;
             connections = newConnections;
-            limit.bound(maximum());
+            limit.setMaximum(maximum());
         }
     }
 
@@ -69,47 +69,47 @@
     }
 
     @Override
-    public boolean idle() {
+    public boolean isIdle() {
         return queue.isEmpty() && serviceTime.inFlight() == 0;
     }
 
     @Override
-    public Offer offer(Admission request, long now) {
+    public AdmissionDecision offer(AdmissionRequest request, long now) {
         limit.recover(now);
-        WaitingRequest waiting = new WaitingRequest(request, sequence++, now);
-        int ahead = queue.ahead(waiting);
+        QueuedRequest waiting = new QueuedRequest(request, sequence++, now);
+        int ahead = queue.countAhead(waiting);
         RefusalReason reason = reasonAgainst(request, ahead, now);
         if (reason != null) {
-            return new Offer.Refused(refusal(request, reason, now));
+            return new AdmissionDecision.Refused(refusal(request, reason, now));
         }
         if (queue.isEmpty() && hasSlot()) {
             shares.add(request);
-            serviceTime.started(request, now);
-            return new Offer.Admitted();
+            serviceTime.onStarted(request, now);
+            return new AdmissionDecision.Admitted();
         }
         return queued(waiting, now);
     }
 
     @Override
-    public NextAdmissions next(long now) {
+    public DequeuedRequests dequeue(long now) {
         limit.recover(now);
         List<Refusal> refused = new ArrayList<>();
-        List<Admission> admitted = new ArrayList<>();
-        for (WaitingRequest waiting : queue.removeAll(each -> reasonWaiting(each, now) != null)) {
+        List<AdmissionRequest> admitted = new ArrayList<>();
+        for (QueuedRequest waiting : queue.removeAll(each -> reasonWaiting(each, now) != null)) {
             shares.remove(waiting.request());
             refused.add(refusal(waiting.request(), reasonWaiting(waiting, now), now));
         }
         while (!queue.isEmpty() && hasSlot()) {
-            Admission request = queue.removeFirst().request();
-            serviceTime.started(request, now);
+            AdmissionRequest request = queue.removeFirst().request();
+            serviceTime.onStarted(request, now);
             admitted.add(request);
         }
-        return new NextAdmissions(admitted, refused);
+        return new DequeuedRequests(admitted, refused);
     }
 
     @Override
     public boolean cancel(RequestId id) {
-        WaitingRequest waiting = queue.remove(id);
+        QueuedRequest waiting = queue.remove(id);
         if (waiting != null) {
             shares.remove(waiting.request());
         }
@@ -117,21 +117,21 @@
     }
 
     @Override
-    public void finished(RequestId id, long latency, AdmissionOutcome outcome, long now) {
+    public void onFinished(RequestId id, long latency, AdmissionOutcome outcome, long now) {
         int inFlight = serviceTime.inFlight();
-        Admission request = serviceTime.ended(id);
+        AdmissionRequest request = serviceTime.onEnded(id);
         if (request == null) {
             return;
         }
         shares.remove(request);
         switch (outcome) {
             case ANSWERED -> {
-                limit.answered(latency, inFlight);
-                serviceTime.answered(latency);
+                limit.onAnswered(latency, inFlight);
+                serviceTime.onAnswered(latency);
                 learnFailure(0);
             }
             case FAILED -> learnFailure(1);
-            case SHED -> limit.shed(now);
+            case SHED -> limit.onShed(now);
             default -> {
                 // a cancelled request says nothing about the upstream
             }
@@ -162,7 +162,7 @@
     }
 
     /** Why a request that has just come cannot be taken, or null. */
-    private RefusalReason reasonAgainst(Admission request, int ahead, long now) {
+    private RefusalReason reasonAgainst(AdmissionRequest request, int ahead, long now) {
         if (draining || state == UpstreamState.LEAVING) {
             return RefusalReason.DRAINING;
         }
@@ -179,7 +179,7 @@
         if (wait > LONGEST_WAIT_NANOSECONDS) {
             return RefusalReason.OVERLOADED;
         }
-        boolean overShare = capacityShort() && shares.over(request, options);
+        boolean overShare = capacityShort() && shares.isOverShare(request, options);
         if (overShare && !lessImportantWaits(request)) {
             return RefusalReason.CALLER_OVER_SHARE;
         }
@@ -187,7 +187,7 @@
     }
 
     /** Why a request that waits has waited in vain, or null. */
-    private RefusalReason reasonWaiting(WaitingRequest waiting, long now) {
+    private RefusalReason reasonWaiting(QueuedRequest waiting, long now) {
         if (state == UpstreamState.ABSENT) {
             return RefusalReason.UPSTREAM_UNREACHABLE;
         }
@@ -204,26 +204,26 @@
         return null;
     }
 
-    private Offer queued(WaitingRequest waiting, long now) {
+    private AdmissionDecision queued(QueuedRequest waiting, long now) {
         List<Refusal> displaced = List.of();
         if (queue.size() >= options.queueLimit()) {
             Refusal refusal = displacedBy(waiting, now);
             if (refusal == null) {
                 Refusal full = refusal(waiting.request(), RefusalReason.QUEUE_FULL, now);
-                return new Offer.Refused(full);
+                return new AdmissionDecision.Refused(full);
             }
             displaced = List.of(refusal);
         }
         shares.add(waiting.request());
         queue.add(waiting);
-        return new Offer.Queued(displaced);
+        return new AdmissionDecision.Queued(displaced);
     }
 
     /** Makes room: first from less important requests, then from a caller over its share. */
-    private Refusal displacedBy(WaitingRequest waiting, long now) {
+    private Refusal displacedBy(QueuedRequest waiting, long now) {
         int importance = waiting.request().importance();
         RefusalReason reason = RefusalReason.OVERLOADED;
-        WaitingRequest victim = queue.last(other -> other.request().importance() < importance);
+        QueuedRequest victim = queue.findLast(other -> other.request().importance() < importance);
         if (victim == null) {
             reason = RefusalReason.CALLER_OVER_SHARE;
             victim = lastOfCallerOverShare(waiting.request());
@@ -236,20 +236,20 @@
         return refusal(victim.request(), reason, now);
     }
 
-    private WaitingRequest lastOfCallerOverShare(Admission request) {
-        CallerName caller = shares.furthestOver(request, options);
+    private QueuedRequest lastOfCallerOverShare(AdmissionRequest request) {
+        CallerName caller = shares.mostOverShare(request, options);
         if (request.caller().equals(caller)) {
             return null;
         }
-        return queue.last(
+        return queue.findLast(
                 other ->
                         other.request().caller().equals(caller)
                                 && other.request().importance() <= request.importance());
     }
 
-    private boolean lessImportantWaits(Admission request) {
+    private boolean lessImportantWaits(AdmissionRequest request) {
         int importance = request.importance();
-        return queue.last(other -> other.request().importance() < importance) != null;
+        return queue.findLast(other -> other.request().importance() < importance) != null;
     }
 
     private boolean capacityShort() {
@@ -269,7 +269,7 @@
         return (ahead + 1) * serviceTime.meanNanoseconds() / limit.value();
     }
 
-    private Refusal refusal(Admission request, RefusalReason reason, long now) {
+    private Refusal refusal(AdmissionRequest request, RefusalReason reason, long now) {
         return new Refusal(request.id(), reason, retryAfterMilliseconds(now));
     }
 
--- a/core/src/main/java/org/damaskmoor/core/once/Acceptance.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/Acceptance.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.once;
+package org.damaskmoor.core.atmostonce;
 
 import com.google.protobuf.ByteString;
 import java.util.Objects;
--- a/core/src/main/java/org/damaskmoor/core/once/AcceptanceResult.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/AcceptanceResult.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.once;
+package org.damaskmoor.core.atmostonce;
 
 /**
  * What became of a call that reached its target. Immutable and thread-safe.
--- a/core/src/main/java/org/damaskmoor/core/once/AttemptId.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/AttemptId.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.once;
+package org.damaskmoor.core.atmostonce;
 
 import java.util.Objects;
 import org.damaskmoor.core.id.RequestId;
--- a/core/src/main/java/org/damaskmoor/core/once/CallState.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/CallState.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.once;
+package org.damaskmoor.core.atmostonce;
 
 /**
  * State of a request at one incarnation of its target. Immutable and thread-safe.
--- a/core/src/main/java/org/damaskmoor/core/once/CancelResult.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/CancelResult.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.once;
+package org.damaskmoor.core.atmostonce;
 
 /** What a cancellation by the entry node leads to. Immutable and thread-safe. */
 public enum CancelResult {
--- a/core/src/main/java/org/damaskmoor/core/once/EntryAction.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/EntryAction.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.once;
+package org.damaskmoor.core.atmostonce;
 
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.core.id.TargetId;
@@ -58,5 +58,5 @@
      * @param step where the outcome was lost
      * @param peer the target at which it was lost
      */
-    record UnknownToCaller(CallStep step, NodeId peer) implements EntryAction {}
+    record UnknownToCaller(UnknownOutcomeStep step, NodeId peer) implements EntryAction {}
 }
--- a/core/src/main/java/org/damaskmoor/core/once/EntryCall.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/EntryCall.java
@@ -1,9 +1,9 @@
-package org.damaskmoor.core.once;
+package org.damaskmoor.core.atmostonce;
 
 import java.util.List;
+import org.damaskmoor.core.atmostonce.internal.AttemptTrackingEntryCall;
 import org.damaskmoor.core.id.RequestId;
 import org.damaskmoor.core.id.TargetId;
-import org.damaskmoor.core.once.internal.AttemptTrackingEntryCall;
 import org.damaskmoor.schema.mesh.RefusalReason;
 import org.damaskmoor.schema.mesh.SealState;
 
@@ -81,7 +81,7 @@
     List<EntryAction> deadline();
 
     /** The caller closed its connection: nothing more is told to it. */
-    List<EntryAction> callerGone();
+    List<EntryAction> callerDisconnected();
 
     /** Returns whether the request has ended. */
     boolean isFinished();
--- a/core/src/main/java/org/damaskmoor/core/once/HandOverResult.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/HandOverResult.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.once;
+package org.damaskmoor.core.atmostonce;
 
 /** Whether a queued call may be handed to the upstream. Immutable and thread-safe. */
 public enum HandOverResult {
--- a/core/src/main/java/org/damaskmoor/core/once/LedgerLimits.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/LedgerLimits.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.once;
+package org.damaskmoor.core.atmostonce;
 
 /**
  * Bounds on the memory of a {@link TargetLedger}.
--- a/core/src/main/java/org/damaskmoor/core/once/TargetLedger.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/TargetLedger.java
@@ -1,11 +1,11 @@
-package org.damaskmoor.core.once;
+package org.damaskmoor.core.atmostonce;
 
 import com.google.protobuf.ByteString;
 import java.util.List;
 import java.util.Optional;
+import org.damaskmoor.core.atmostonce.internal.BoundedTargetLedger;
 import org.damaskmoor.core.id.Incarnation;
 import org.damaskmoor.core.id.RequestId;
-import org.damaskmoor.core.once.internal.BoundedTargetLedger;
 import org.damaskmoor.schema.mesh.SealState;
 
 /**
@@ -97,7 +97,7 @@
     Optional<ByteString> answer(RequestId id);
 
     /** Returns the ids that get the outcome of this run: its own first, then those that joined. */
-    List<RequestId> sharing(RequestId id);
+    List<RequestId> requestsSharingRun(RequestId id);
 
     /** Returns the number of entries now kept. */
     int size();
--- a/core/src/main/java/org/damaskmoor/core/once/CallStep.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/UnknownOutcomeStep.java
@@ -1,7 +1,7 @@
-package org.damaskmoor.core.once;
+package org.damaskmoor.core.atmostonce;
 
 /** The step at which the outcome of a request became unknown. Immutable and thread-safe. */
-public enum CallStep {
+public enum UnknownOutcomeStep {
     /** The target handed it over and got no whole answer. */
     UPSTREAM("upstream"),
     /** The target did not tell whether it sealed the request. */
@@ -13,7 +13,7 @@
 
     private final String wireName;
 
-    CallStep(String wireName) {
+    UnknownOutcomeStep(String wireName) {
         this.wireName = wireName;
     }
 
--- a/core/src/main/java/org/damaskmoor/core/once/internal/AnswerMemory.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/internal/AnswerCache.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.once.internal;
+package org.damaskmoor.core.atmostonce.internal;
 
 import com.google.protobuf.ByteString;
 import java.util.Iterator;
@@ -11,16 +11,16 @@
  *
  * <p>Invariant: the answers that entries hold never exceed the bound together. Not thread-safe.
  */
-final class AnswerMemory {
+final class AnswerCache {
     private final long maximumBytes;
     private final Set<LedgerEntry> oldestFirst = new LinkedHashSet<>();
     private long bytes;
 
-    AnswerMemory(long maximumBytes) {
+    AnswerCache(long maximumBytes) {
         this.maximumBytes = maximumBytes;
     }
 
-    void keep(LedgerEntry entry, ByteString answer) {
+    void put(LedgerEntry entry, ByteString answer) {
         if (answer.size() > maximumBytes) {
             return;
         }
@@ -36,7 +36,7 @@
     }
 
     /** Forgets the answer of an entry that leaves the ledger. */
-    void forget(LedgerEntry entry) {
+    void remove(LedgerEntry entry) {
         if (oldestFirst.remove(entry)) {
             clear(entry);
         }
--- a/core/src/main/java/org/damaskmoor/core/once/internal/Attempt.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/internal/Attempt.java
@@ -1,8 +1,8 @@
-package org.damaskmoor.core.once.internal;
+package org.damaskmoor.core.atmostonce.internal;
 
+import org.damaskmoor.core.atmostonce.AttemptId;
+import org.damaskmoor.core.atmostonce.UnknownOutcomeStep;
 import org.damaskmoor.core.id.TargetId;
-import org.damaskmoor.core.once.AttemptId;
-import org.damaskmoor.core.once.CallStep;
 
 /**
  * One attempt at a request, as its entry node knows it.
@@ -32,7 +32,7 @@
     final AttemptId id;
     final TargetId target;
     Knowledge knowledge = Knowledge.SENT;
-    CallStep unknownStep = CallStep.DEADLINE;
+    UnknownOutcomeStep unknownStep = UnknownOutcomeStep.DEADLINE;
 
     Attempt(AttemptId id, TargetId target) {
         this.id = id;
@@ -51,7 +51,7 @@
         return knowledge == Knowledge.NOT_RUN;
     }
 
-    void giveUp(CallStep step) {
+    void markUnknown(UnknownOutcomeStep step) {
         knowledge = Knowledge.UNKNOWN;
         unknownStep = step;
     }
--- a/core/src/main/java/org/damaskmoor/core/once/internal/AttemptTrackingEntryCall.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/internal/AttemptTrackingEntryCall.java
@@ -1,16 +1,16 @@
-package org.damaskmoor.core.once.internal;
+package org.damaskmoor.core.atmostonce.internal;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Objects;
 import java.util.Optional;
+import org.damaskmoor.core.atmostonce.AttemptId;
+import org.damaskmoor.core.atmostonce.EntryAction;
+import org.damaskmoor.core.atmostonce.EntryCall;
+import org.damaskmoor.core.atmostonce.UnknownOutcomeStep;
+import org.damaskmoor.core.atmostonce.internal.Attempt.Knowledge;
 import org.damaskmoor.core.id.RequestId;
 import org.damaskmoor.core.id.TargetId;
-import org.damaskmoor.core.once.AttemptId;
-import org.damaskmoor.core.once.CallStep;
-import org.damaskmoor.core.once.EntryAction;
-import org.damaskmoor.core.once.EntryCall;
-import org.damaskmoor.core.once.internal.Attempt.Knowledge;
 import org.damaskmoor.schema.mesh.RefusalReason;
 import org.damaskmoor.schema.mesh.SealState;
 
@@ -102,14 +102,14 @@
     @Override
     public List<EntryAction> refused(AttemptId attemptId, RefusalReason reason) {
         if (reason == RefusalReason.STALE_INCARNATION) {
-            return gaveUp(attemptId, CallStep.TARGET_RESTARTED);
+            return gaveUp(attemptId, UnknownOutcomeStep.TARGET_RESTARTED);
         }
         return provedNotRun(attemptId, reason);
     }
 
     @Override
     public List<EntryAction> failed(AttemptId attemptId) {
-        return gaveUp(attemptId, CallStep.UPSTREAM);
+        return gaveUp(attemptId, UnknownOutcomeStep.UPSTREAM);
     }
 
     private List<EntryAction> provedNotRun(AttemptId attemptId, RefusalReason reason) {
@@ -122,12 +122,12 @@
         return sendOrWait();
     }
 
-    private List<EntryAction> gaveUp(AttemptId attemptId, CallStep step) {
+    private List<EntryAction> gaveUp(AttemptId attemptId, UnknownOutcomeStep step) {
         Optional<Attempt> attempt = find(attemptId).filter(Attempt::isOpen);
         if (attempt.isEmpty()) {
             return List.of();
         }
-        attempt.get().giveUp(step);
+        attempt.get().markUnknown(step);
         return nonIdempotent ? conclude() : sendOrWait();
     }
 
@@ -165,8 +165,8 @@
         return switch (state) {
             case SEALED -> provedNotRun(attemptId, RefusalReason.SEALED_AFTER_SILENCE);
             case HANDED_OVER, ANSWERED -> outcomeFollows(attemptId);
-            case OTHER_INCARNATION -> gaveUp(attemptId, CallStep.TARGET_RESTARTED);
-            default -> gaveUp(attemptId, CallStep.SEAL);
+            case OTHER_INCARNATION -> gaveUp(attemptId, UnknownOutcomeStep.TARGET_RESTARTED);
+            default -> gaveUp(attemptId, UnknownOutcomeStep.SEAL);
         };
     }
 
@@ -181,7 +181,7 @@
         if (find(attemptId, Knowledge.SEALING).isEmpty()) {
             return List.of();
         }
-        return gaveUp(attemptId, CallStep.SEAL);
+        return gaveUp(attemptId, UnknownOutcomeStep.SEAL);
     }
 
     @Override
@@ -194,7 +194,7 @@
     }
 
     @Override
-    public List<EntryAction> callerGone() {
+    public List<EntryAction> callerDisconnected() {
         if (finished) {
             return List.of();
         }
--- a/core/src/main/java/org/damaskmoor/core/once/internal/BoundedTargetLedger.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/internal/BoundedTargetLedger.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.once.internal;
+package org.damaskmoor.core.atmostonce.internal;
 
 import com.google.protobuf.ByteString;
 import java.util.ArrayList;
@@ -7,17 +7,17 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.Optional;
+import org.damaskmoor.core.atmostonce.Acceptance;
+import org.damaskmoor.core.atmostonce.AcceptanceResult;
+import org.damaskmoor.core.atmostonce.CallKey;
+import org.damaskmoor.core.atmostonce.CallState;
+import org.damaskmoor.core.atmostonce.CancelResult;
+import org.damaskmoor.core.atmostonce.HandOverResult;
+import org.damaskmoor.core.atmostonce.IdempotencyKey;
+import org.damaskmoor.core.atmostonce.LedgerLimits;
+import org.damaskmoor.core.atmostonce.TargetLedger;
 import org.damaskmoor.core.id.Incarnation;
 import org.damaskmoor.core.id.RequestId;
-import org.damaskmoor.core.once.Acceptance;
-import org.damaskmoor.core.once.AcceptanceResult;
-import org.damaskmoor.core.once.CallKey;
-import org.damaskmoor.core.once.CallState;
-import org.damaskmoor.core.once.CancelResult;
-import org.damaskmoor.core.once.HandOverResult;
-import org.damaskmoor.core.once.IdempotencyKey;
-import org.damaskmoor.core.once.LedgerLimits;
-import org.damaskmoor.core.once.TargetLedger;
 import org.damaskmoor.schema.mesh.SealState;
 
 /**
@@ -33,13 +33,13 @@
     private final Map<RequestId, LedgerEntry> entries = new HashMap<>();
     private final Map<IdempotencyKey, LedgerEntry> runs = new HashMap<>();
     private final ExpiryQueue expiry = new ExpiryQueue();
-    private final AnswerMemory answers;
+    private final AnswerCache answers;
     private final EntryFences fences;
 
     public BoundedTargetLedger(Incarnation ownIncarnation, LedgerLimits limits) {
         this.ownIncarnation = Objects.requireNonNull(ownIncarnation, "ownIncarnation");
         this.limits = Objects.requireNonNull(limits, "limits");
-        this.answers = new AnswerMemory(limits.maximumAnswerBytes());
+        this.answers = new AnswerCache(limits.maximumAnswerBytes());
         this.fences = new EntryFences(limits.maximumFences());
     }
 
@@ -67,8 +67,8 @@
         if (deadlineNanoseconds <= nowNanoseconds) {
             return notQueued(AcceptanceResult.DEADLINE_PASSED, key);
         }
-        if (isFull() || fences.covers(key.id(), nowNanoseconds)) {
-            fences.raise(key.id(), keepUntilNanoseconds);
+        if (isFull() || fences.isFenced(key.id(), nowNanoseconds)) {
+            fences.add(key.id(), keepUntilNanoseconds);
             return notQueued(AcceptanceResult.FULL, key);
         }
         return queue(LedgerEntry.queued(key, deadlineNanoseconds, keepUntilNanoseconds));
@@ -81,7 +81,7 @@
     }
 
     private Acceptance duplicate(LedgerEntry known, long keepUntilNanoseconds) {
-        known.keepAtLeastUntil(keepUntilNanoseconds);
+        known.extendRetention(keepUntilNanoseconds);
         if (known.visibleState() == CallState.SEALED) {
             return acceptance(AcceptanceResult.SEALED_ALREADY, known);
         }
@@ -163,7 +163,7 @@
         if (entry == null) {
             return false;
         }
-        answers.keep(entry, answer);
+        answers.put(entry, answer);
         end(entry, CallState.ANSWERED);
         return true;
     }
@@ -195,7 +195,7 @@
             leaveTombstone(id, keepUntilNanoseconds);
             return SealState.SEALED;
         }
-        entry.keepAtLeastUntil(keepUntilNanoseconds);
+        entry.extendRetention(keepUntilNanoseconds);
         if (!entry.isResend() && entry.state == CallState.QUEUED) {
             endWithoutRun(entry, CallState.SEALED);
         }
@@ -204,7 +204,7 @@
 
     private void leaveTombstone(RequestId id, long keepUntilNanoseconds) {
         if (isFull()) {
-            fences.raise(id, keepUntilNanoseconds);
+            fences.add(id, keepUntilNanoseconds);
         } else {
             add(LedgerEntry.tombstone(id, keepUntilNanoseconds));
         }
@@ -248,21 +248,21 @@
 
     private void end(LedgerEntry entry, CallState state) {
         entry.state = state;
-        expiry.ended(entry);
+        expiry.onRunEnded(entry);
         for (RequestId resend : entry.joined) {
-            expiry.ended(entries.get(resend));
+            expiry.onRunEnded(entries.get(resend));
         }
     }
 
     @Override
     public void expire(long nowNanoseconds) {
-        expiry.drain(nowNanoseconds, this::drop);
+        expiry.removeExpired(nowNanoseconds, this::drop);
         fences.expire(nowNanoseconds);
     }
 
     private void drop(LedgerEntry entry) {
         entries.remove(entry.id);
-        answers.forget(entry);
+        answers.remove(entry);
         entry.idempotencyKey.ifPresent(idempotencyKey -> runs.remove(idempotencyKey, entry));
     }
 
@@ -277,7 +277,7 @@
     }
 
     @Override
-    public List<RequestId> sharing(RequestId id) {
+    public List<RequestId> requestsSharingRun(RequestId id) {
         LedgerEntry entry = entries.get(id);
         if (entry == null) {
             return List.of();
--- a/core/src/main/java/org/damaskmoor/core/once/internal/EntryFences.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/internal/EntryFences.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.once.internal;
+package org.damaskmoor.core.atmostonce.internal;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -9,7 +9,7 @@
 /**
  * Remembers refused requests in constant space per entry incarnation, for a ledger without room.
  *
- * <p>Invariant: once {@link #raise} returned, {@link #covers} holds for that id until the given
+ * <p>Invariant: once {@link #add} returned, {@link #isFenced} holds for that id until the given
  * time, whatever else is raised. It may hold for other ids too, which are then refused without
  * need, but never run. When too many entry incarnations are fenced, all ids are. Not thread-safe.
  */
@@ -22,7 +22,7 @@
         this.maximumFences = maximumFences;
     }
 
-    void raise(RequestId id, long untilNanoseconds) {
+    void add(RequestId id, long untilNanoseconds) {
         Entry entry = Entry.of(id);
         if (!fences.containsKey(entry) && fences.size() >= maximumFences) {
             everyIdUntilNanoseconds = Math.max(everyIdUntilNanoseconds, untilNanoseconds);
@@ -31,7 +31,7 @@
         fences.merge(entry, new Fence(id.sequence(), untilNanoseconds), Fence::highest);
     }
 
-    boolean covers(RequestId id, long nowNanoseconds) {
+    boolean isFenced(RequestId id, long nowNanoseconds) {
         if (nowNanoseconds < everyIdUntilNanoseconds) {
             return true;
         }
--- a/core/src/main/java/org/damaskmoor/core/once/internal/ExpiryQueue.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/internal/ExpiryQueue.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.once.internal;
+package org.damaskmoor.core.atmostonce.internal;
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
@@ -8,7 +8,7 @@
  * Orders entries by the time until which they are kept.
  *
  * <p>Invariant: an entry is handed out only when its run has ended and its keep-until time, as it
- * stands then, has passed. Each entry is in the queue once, or waits for {@link #ended}. Not
+ * stands then, has passed. Each entry is in the queue once, or waits for {@link #onRunEnded}. Not
  * thread-safe.
  */
 final class ExpiryQueue {
@@ -21,13 +21,13 @@
     }
 
     /** Puts an entry back that had outlived its time while it was still running. */
-    void ended(LedgerEntry entry) {
+    void onRunEnded(LedgerEntry entry) {
         if (entry.expiryPending) {
             add(entry);
         }
     }
 
-    void drain(long nowNanoseconds, Consumer<LedgerEntry> drop) {
+    void removeExpired(long nowNanoseconds, Consumer<LedgerEntry> drop) {
         while (!queue.isEmpty() && queue.peek().atNanoseconds() <= nowNanoseconds) {
             LedgerEntry entry = queue.remove().entry();
             if (entry.keepUntilNanoseconds > nowNanoseconds) {
--- a/core/src/main/java/org/damaskmoor/core/once/internal/LedgerEntry.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/internal/LedgerEntry.java
@@ -1,13 +1,13 @@
-package org.damaskmoor.core.once.internal;
+package org.damaskmoor.core.atmostonce.internal;
 
 import com.google.protobuf.ByteString;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
+import org.damaskmoor.core.atmostonce.CallKey;
+import org.damaskmoor.core.atmostonce.CallState;
+import org.damaskmoor.core.atmostonce.IdempotencyKey;
 import org.damaskmoor.core.id.RequestId;
-import org.damaskmoor.core.once.CallKey;
-import org.damaskmoor.core.once.CallState;
-import org.damaskmoor.core.once.IdempotencyKey;
 
 /**
  * One request in the ledger: a run of its own, or a resend that joined an earlier run.
@@ -52,17 +52,17 @@
     /** Joins a resend to this run, which is then kept and waited for as long as the resend. */
     LedgerEntry join(CallKey resend, long deadlineNanoseconds, long keepUntilNanoseconds) {
         this.deadlineNanoseconds = Math.max(this.deadlineNanoseconds, deadlineNanoseconds);
-        keepAtLeastUntil(keepUntilNanoseconds);
+        extendRetention(keepUntilNanoseconds);
         if (!state.isFinal()) {
             joined.add(resend.id());
         }
         return new LedgerEntry(resend, this, CallState.QUEUED, keepUntilNanoseconds);
     }
 
-    void keepAtLeastUntil(long nanoseconds) {
+    void extendRetention(long nanoseconds) {
         keepUntilNanoseconds = Math.max(keepUntilNanoseconds, nanoseconds);
         if (isResend()) {
-            run.keepAtLeastUntil(nanoseconds);
+            run.extendRetention(nanoseconds);
         }
     }
 
--- a/core/src/main/java/org/damaskmoor/core/once/package-info.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/package-info.java
@@ -5,4 +5,4 @@
  * <p>Both are plain state machines without I/O, threads or clocks of their own. The protocol is
  * model-checked in {@code spec/once/once.pml}.
  */
-package org.damaskmoor.core.once;
+package org.damaskmoor.core.atmostonce;
--- a/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationStart.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationBootstrap.java
@@ -15,7 +15,7 @@
  * <p>Invariant: ready only once the table answered or, while it is silent, a peer did, and every
  * other one that was asked answered or ran out of time. Not thread-safe: one thread drives it.
  */
-public final class ConfigurationStart {
+public final class ConfigurationBootstrap {
     private static final int PEERS_ASKED = 3;
     private static final long ANSWER_TIMEOUT_MILLISECONDS = 3_000;
 
@@ -35,11 +35,11 @@
     private long nextReadMilliseconds;
 
     /**
-     * A start; begin with {@link #ask}.
+     * A start; begin with {@link #requestAll}.
      *
      * @param driver runs tasks on the thread that drives this object
      */
-    public ConfigurationStart(
+    public ConfigurationBootstrap(
             ConfigurationStore store,
             ConfigurationRequester requester,
             ServiceTable table,
@@ -51,7 +51,7 @@
     }
 
     /** Asks the first few of these peers, nearest first, and the table. */
-    public void ask(List<NodeId> peers, long nowMilliseconds) {
+    public void requestAll(List<NodeId> peers, long nowMilliseconds) {
         deadlineMilliseconds = nowMilliseconds + ANSWER_TIMEOUT_MILLISECONDS;
         silentPeers.clear();
         for (NodeId peer : peers.subList(0, Math.min(PEERS_ASKED, peers.size()))) {
@@ -95,7 +95,7 @@
         if (isReady(nowMilliseconds)) {
             readInTurn(peers.size() + 1, turn, nowMilliseconds);
         } else if (nowMilliseconds >= deadlineMilliseconds) {
-            ask(peers, nowMilliseconds);
+            requestAll(peers, nowMilliseconds);
         }
     }
 
--- a/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationChanger.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationChanger.java
@@ -11,7 +11,7 @@
 import org.damaskmoor.core.configuration.ChangeOutcome.NotAccepted;
 import org.damaskmoor.core.configuration.ChangeOutcome.Unknown;
 import org.damaskmoor.core.configuration.ServiceTable.Row;
-import org.damaskmoor.core.configuration.internal.ChangeRecords;
+import org.damaskmoor.core.configuration.internal.ConfigurationRows;
 import org.damaskmoor.schema.configuration.VersionedConfiguration;
 
 /**
@@ -92,14 +92,14 @@
             Optional<Row> row = answer.value;
             VersionedConfiguration inForce =
                     row.map(Row::configuration).orElse(VersionedConfiguration.getDefaultInstance());
-            long written = ChangeRecords.versionOf(inForce, request.operationId());
+            long written = ConfigurationRows.versionOf(inForce, request.operationId());
             if (written > 0) {
                 return done(new Accepted(written, inForce));
             }
-            if (!ChangeRecords.isExpected(inForce, request)) {
+            if (!ConfigurationRows.isExpected(inForce, request)) {
                 return done(new Conflict(inForce));
             }
-            return write(row, ChangeRecords.next(inForce, request));
+            return write(row, ConfigurationRows.nextRow(inForce, request));
         }
 
         private CompletableFuture<ChangeOutcome> write(
--- a/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationGossip.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationGossip.java
@@ -23,7 +23,7 @@
 
     private final ConfigurationStore store;
     private final ConfigurationPuller puller;
-    private final PeerConfigurations peers;
+    private final PeerConfigurationTracker peers;
     private final BiConsumer<NodeId, List<ConfigurationVersion>> teller;
     private final Predicate<QuarantineRecord> quarantine;
     private long lastDigest;
@@ -40,7 +40,7 @@
     public ConfigurationGossip(
             ConfigurationStore store,
             ConfigurationPuller puller,
-            PeerConfigurations peers,
+            PeerConfigurationTracker peers,
             BiConsumer<NodeId, List<ConfigurationVersion>> teller,
             Predicate<QuarantineRecord> quarantine) {
         this.store = store;
@@ -60,8 +60,8 @@
         if (version.getService().isEmpty()) {
             return false;
         }
-        puller.onVersion(from, version);
-        return store.hear(version);
+        puller.onVersionAnnounced(from, version);
+        return store.recordAnnounced(version);
     }
 
     @Override
--- a/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationPuller.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationPuller.java
@@ -64,7 +64,7 @@
     /**
      * Notes that a peer knows of a version; the next {@link #tick} asks for it if it is lacking.
      */
-    public void onVersion(NodeId peer, ConfigurationVersion version) {
+    public void onVersionAnnounced(NodeId peer, ConfigurationVersion version) {
         if (!store.lacks(version)) {
             return;
         }
--- a/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationStore.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationStore.java
@@ -49,7 +49,7 @@
     }
 
     /** Notes that a version exists somewhere; returns whether this was news. */
-    public boolean hear(ConfigurationVersion version) {
+    public boolean recordAnnounced(ConfigurationVersion version) {
         long former = newestHeard.getOrDefault(version.getService(), 0L);
         newestHeard.merge(version.getService(), version.getVersion(), Math::max);
         return version.getVersion() > former;
--- a/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationValidator.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationValidator.java
@@ -7,7 +7,7 @@
 import java.util.regex.Pattern;
 import org.damaskmoor.core.configuration.internal.AddressRange;
 import org.damaskmoor.core.configuration.internal.HostNames;
-import org.damaskmoor.core.configuration.internal.Methods;
+import org.damaskmoor.core.configuration.internal.HttpMethods;
 import org.damaskmoor.schema.configuration.AdmissionPolicy;
 import org.damaskmoor.schema.configuration.CallerAddressRange;
 import org.damaskmoor.schema.configuration.CallerIdentification;
@@ -118,9 +118,9 @@
                 "stands twice: " + rule.getName());
         for (int i = 0; i < rule.getMethodsCount(); i++) {
             faults.check(
-                    Methods.isKnown(rule.getMethods(i)),
+                    HttpMethods.isKnown(rule.getMethods(i)),
                     path + "methods[" + i + "]",
-                    "unknown method \"" + rule.getMethods(i) + "\"; known: " + Methods.KNOWN);
+                    "unknown method \"" + rule.getMethods(i) + "\"; known: " + HttpMethods.KNOWN);
         }
         if (!rule.getPathPrefix().isEmpty()) {
             validatePrefix(rule.getPathPrefix(), path + "path_prefix", faults);
--- a/core/src/main/java/org/damaskmoor/core/configuration/PeerConfigurations.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/PeerConfigurationTracker.java
@@ -12,7 +12,7 @@
  * <p>Invariant: a peer is called behind only if it was heard with a digest that this node itself
  * had before. Not thread-safe: one thread drives it.
  */
-public final class PeerConfigurations {
+public final class PeerConfigurationTracker {
     private static final int FORMER_DIGESTS_KEPT = 64;
 
     private final Map<NodeId, Long> digests = new HashMap<>();
@@ -54,7 +54,7 @@
     }
 
     /** How the peer stood when it was last heard. */
-    public Standing standingOf(NodeId peer) {
+    public Standing statusOf(NodeId peer) {
         Long digest = digests.get(peer);
         if (digest == null) {
             return Standing.UNKNOWN;
--- a/core/src/main/java/org/damaskmoor/core/configuration/ServiceMatcher.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/ServiceMatcher.java
@@ -3,7 +3,7 @@
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.Map;
-import org.damaskmoor.core.configuration.internal.CompiledTables;
+import org.damaskmoor.core.configuration.internal.ServiceIndex;
 import org.damaskmoor.schema.configuration.VersionedConfiguration;
 
 /**
@@ -18,9 +18,9 @@
  * slash. Immutable and thread-safe: a change of configuration makes a new matcher.
  */
 public final class ServiceMatcher {
-    private final CompiledTables tables;
+    private final ServiceIndex tables;
 
-    private ServiceMatcher(CompiledTables tables) {
+    private ServiceMatcher(ServiceIndex tables) {
         this.tables = tables;
     }
 
@@ -32,7 +32,7 @@
                 services.put(configuration.getService().getName(), configuration);
             }
         }
-        return new ServiceMatcher(new CompiledTables(services));
+        return new ServiceMatcher(new ServiceIndex(services));
     }
 
     /**
--- a/core/src/main/java/org/damaskmoor/core/configuration/internal/CompiledService.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/internal/CompiledService.java
@@ -48,7 +48,7 @@
                         rule.getTimeoutMilliseconds(),
                         Set.copyOf(rule.getAllowedCallersList()));
         return new CompiledRule(
-                Methods.maskOf(rule.getMethodsList()), rule.getPathPrefix(), treatment);
+                HttpMethods.maskOf(rule.getMethodsList()), rule.getPathPrefix(), treatment);
     }
 
     private static CallerRange compile(CallerAddressRange range) {
@@ -83,15 +83,15 @@
 
     @Override
     public MatchedRule findRule(String method, String path) {
-        int bit = Methods.bitOf(method);
+        int bit = HttpMethods.bitOf(method);
         for (int i = 0; i < rules.size(); i++) {
             CompiledRule rule = rules.get(i);
             boolean methodMatches = rule.methods == -1 || (rule.methods & bit) != 0;
-            if (methodMatches && Paths.covers(rule.prefix, path)) {
+            if (methodMatches && PathPrefixes.covers(rule.prefix, path)) {
                 return rule.treatment;
             }
         }
-        return Methods.isIdempotent(method) ? UNMATCHED_IDEMPOTENT : UNMATCHED_NON_IDEMPOTENT;
+        return HttpMethods.isIdempotent(method) ? UNMATCHED_IDEMPOTENT : UNMATCHED_NON_IDEMPOTENT;
     }
 
     @Override
--- a/core/src/main/java/org/damaskmoor/core/configuration/internal/ChangeRecords.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/internal/ConfigurationRows.java
@@ -6,10 +6,10 @@
 import org.damaskmoor.schema.configuration.VersionedConfiguration;
 
 /** Makes the row of a change and finds a change in a row. Without state, so thread-safe. */
-public final class ChangeRecords {
+public final class ConfigurationRows {
     private static final int EARLIER_CHANGES_KEPT = 16;
 
-    private ChangeRecords() {}
+    private ConfigurationRows() {}
 
     /** The version that an operation got; 0 when the row does not know the operation. */
     public static long versionOf(VersionedConfiguration row, String operationId) {
@@ -34,7 +34,8 @@
     }
 
     /** The row that the change writes over the given one. */
-    public static VersionedConfiguration next(VersionedConfiguration row, ChangeRequest request) {
+    public static VersionedConfiguration nextRow(
+            VersionedConfiguration row, ChangeRequest request) {
         VersionedConfiguration.Builder next =
                 VersionedConfiguration.newBuilder()
                         .setService(content(request))
--- a/core/src/main/java/org/damaskmoor/core/configuration/internal/Methods.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/internal/HttpMethods.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** HTTP methods as bits of a mask. Without state, so thread-safe. */
-public final class Methods {
+public final class HttpMethods {
     /** All methods that rules may name. */
     public static final List<String> KNOWN =
             List.of("GET", "HEAD", "POST", "PUT", "DELETE", "PATCH", "OPTIONS", "TRACE");
@@ -11,7 +11,7 @@
     private static final int IDEMPOTENT =
             maskOf(List.of("GET", "HEAD", "OPTIONS", "PUT", "DELETE", "TRACE"));
 
-    private Methods() {}
+    private HttpMethods() {}
 
     /** Whether rules may name it. */
     public static boolean isKnown(String method) {
--- a/core/src/main/java/org/damaskmoor/core/configuration/internal/Paths.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/internal/PathPrefixes.java
@@ -1,8 +1,8 @@
 package org.damaskmoor.core.configuration.internal;
 
 /** What a path prefix covers: itself and what follows it after a slash. Thread-safe. */
-final class Paths {
-    private Paths() {}
+final class PathPrefixes {
+    private PathPrefixes() {}
 
     /** Where the path ends: before the query. */
     static int endOf(String path) {
--- a/core/src/main/java/org/damaskmoor/core/configuration/internal/CompiledTables.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/internal/ServiceIndex.java
@@ -7,13 +7,13 @@
 import org.damaskmoor.schema.configuration.VersionedConfiguration;
 
 /** Services by host, by path prefix and by name. Immutable and thread-safe. */
-public final class CompiledTables {
-    private final TextTable<MatchedService> byHost;
-    private final TextTable<MatchedService> byPrefix;
+public final class ServiceIndex {
+    private final SubstringMap<MatchedService> byHost;
+    private final SubstringMap<MatchedService> byPrefix;
     private final Map<String, MatchedService> byName;
 
     /** Tables of these services, by name. */
-    public CompiledTables(Map<String, VersionedConfiguration> services) {
+    public ServiceIndex(Map<String, VersionedConfiguration> services) {
         Map<String, MatchedService> names = new HashMap<>();
         Map<String, MatchedService> hosts = new HashMap<>();
         Map<String, MatchedService> prefixes = new HashMap<>();
@@ -28,8 +28,8 @@
             }
         }
         this.byName = Map.copyOf(names);
-        this.byHost = new TextTable<>(hosts, true);
-        this.byPrefix = new TextTable<>(prefixes, false);
+        this.byHost = new SubstringMap<>(hosts, true);
+        this.byPrefix = new SubstringMap<>(prefixes, false);
     }
 
     /** The service that a Host field selects; null when none. */
@@ -39,12 +39,12 @@
 
     /** The service with the longest prefix that covers the path; null when none does. */
     public MatchedService findByPath(String path) {
-        int end = Paths.endOf(path);
+        int end = PathPrefixes.endOf(path);
         MatchedService longest = null;
         int hash = 0;
         for (int length = 1; length <= end; length++) {
-            hash = byPrefix.next(hash, path.charAt(length - 1));
-            if (Paths.isBoundary(path, length, end)) {
+            hash = byPrefix.extendHash(hash, path.charAt(length - 1));
+            if (PathPrefixes.isBoundary(path, length, end)) {
                 MatchedService found = byPrefix.find(path, length, hash);
                 longest = found != null ? found : longest;
             }
--- a/core/src/main/java/org/damaskmoor/core/configuration/internal/TextTable.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/internal/SubstringMap.java
@@ -9,12 +9,12 @@
  *
  * @param <V> the value
  */
-final class TextTable<V> {
+final class SubstringMap<V> {
     private final String[] keys;
     private final Object[] values;
     private final boolean ignoreCase;
 
-    TextTable(Map<String, V> entries, boolean ignoreCase) {
+    SubstringMap(Map<String, V> entries, boolean ignoreCase) {
         int size = Math.max(2, Integer.highestOneBit(entries.size() * 2 + 1) * 2);
         this.keys = new String[size];
         this.values = new Object[size];
@@ -34,13 +34,13 @@
     private int hash(String text, int end) {
         int hash = 0;
         for (int i = 0; i < end; i++) {
-            hash = next(hash, text.charAt(i));
+            hash = extendHash(hash, text.charAt(i));
         }
         return hash;
     }
 
     /** The hash of a text that is longer by one character. */
-    int next(int hash, char character) {
+    int extendHash(int hash, char character) {
         char folded =
                 ignoreCase && character >= 'A' && character <= 'Z'
                         ? (char) (character + 32)
--- a/core/src/main/java/org/damaskmoor/core/readers/ReaderElection.java
+++ b/core/src/main/java/org/damaskmoor/core/election/ReaderElection.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.readers;
+package org.damaskmoor.core.election;
 
 import java.util.Collection;
 import java.util.HashMap;
@@ -46,7 +46,7 @@
     }
 
     /** A reader sent a sign. */
-    public void heard(NodeId reader, boolean storeAnswers, long now) {
+    public void onHeartbeat(NodeId reader, boolean storeAnswers, long now) {
         signs.values().removeIf(sign -> now - sign.at() >= TIMEOUT_MILLISECONDS);
         signs.put(reader, new Sign(now, storeAnswers));
     }
@@ -67,7 +67,7 @@
     }
 
     /** Whether some reader that the store answers was heard lately. */
-    public boolean isInformed(long now) {
+    public boolean hasHealthyReader(long now) {
         return signs.values().stream().anyMatch(sign -> sign.storeAnswers() && isFresh(sign, now));
     }
 
--- a/core/src/main/java/org/damaskmoor/core/lease/Lease.java
+++ b/core/src/main/java/org/damaskmoor/core/lease/Lease.java
@@ -130,7 +130,7 @@
         sent = null;
     }
 
-    /** The write that {@link #next} or {@link #beginGuardedWrite} gave took effect. */
+    /** The write that {@link #next} or {@link #beginFencedWrite} gave took effect. */
     public void onWritten(String newTag) {
         inFlight = false;
         row = new LeaseRow(newTag, sent.lease());
@@ -152,7 +152,7 @@
     }
 
     /** The read failed, or the write's answer was lost: the row is read back. */
-    public void onUnknown(long nowNanoseconds) {
+    public void onOutcomeUnknown(long nowNanoseconds) {
         inFlight = false;
         mustRead = true;
         nextReadNanoseconds = nowNanoseconds + durationNanoseconds / 10;
@@ -162,7 +162,7 @@
      * Starts a write in the holder's name. The result has to go into the same transaction as the
      * data; it renews the lease too. Empty: not held now, or another call is in flight.
      */
-    public Optional<LeaseStep.Write> beginGuardedWrite(long nowNanoseconds) {
+    public Optional<LeaseStep.Write> beginFencedWrite(long nowNanoseconds) {
         boolean possible = isHeld(nowNanoseconds) && !inFlight && !mustRead;
         return possible ? Optional.of(renewal(nowNanoseconds)) : Optional.empty();
     }
--- a/core/src/main/java/org/damaskmoor/core/lease/LeaseStep.java
+++ b/core/src/main/java/org/damaskmoor/core/lease/LeaseStep.java
@@ -9,12 +9,12 @@
     /** Nothing is due. */
     record Wait() implements LeaseStep {}
 
-    /** Read the row; answer with {@link Lease#onRead} or {@link Lease#onUnknown}. */
+    /** Read the row; answer with {@link Lease#onRead} or {@link Lease#onOutcomeUnknown}. */
     record Read() implements LeaseStep {}
 
     /**
      * Write the row; answer with {@link Lease#onWritten}, {@link Lease#onConditionFailed} or {@link
-     * Lease#onUnknown}.
+     * Lease#onOutcomeUnknown}.
      *
      * @param tag tag that the row must have; empty: it must not stand yet
      * @param lease the new content
--- a/core/src/main/java/org/damaskmoor/core/load/MeasuringBudget.java
+++ b/core/src/main/java/org/damaskmoor/core/load/MeasurementBudget.java
@@ -17,7 +17,7 @@
  * byte. Invariant: in any span of time no more is spent than the burst and the rate times the span.
  * Times are in nanoseconds of one monotonic clock. Not thread-safe.
  */
-public final class MeasuringBudget {
+public final class MeasurementBudget {
     /** Of the 3 KB a second that a node may use for control, what measuring load may take. */
     public static final long NODE_BYTES_PER_SECOND = 2048;
 
@@ -30,8 +30,8 @@
 
     private final long bytesPerSecond;
     private final double burstBytes;
-    private final Map<MeasuringKind, Long> spentBytes = new EnumMap<>(MeasuringKind.class);
-    private final Map<MeasuringKind, Long> deniedBytes = new EnumMap<>(MeasuringKind.class);
+    private final Map<MeasurementKind, Long> spentBytes = new EnumMap<>(MeasurementKind.class);
+    private final Map<MeasurementKind, Long> deniedBytes = new EnumMap<>(MeasurementKind.class);
     private double tokens;
     private long filledAtNanoseconds;
 
@@ -40,7 +40,7 @@
      *
      * @param bytesPerSecond the rate; 0 forbids all measuring
      */
-    public MeasuringBudget(long bytesPerSecond, long nowNanoseconds) {
+    public MeasurementBudget(long bytesPerSecond, long nowNanoseconds) {
         this.bytesPerSecond = bytesPerSecond;
         this.burstBytes = (double) bytesPerSecond * BURST_SECONDS;
         this.tokens = burstBytes;
@@ -48,15 +48,15 @@
     }
 
     /** The share of one node in the budget of the paid link. */
-    public static MeasuringBudget forPaidLink(int nodesInRegion, long nowNanoseconds) {
+    public static MeasurementBudget forPaidLink(int nodesInRegion, long nowNanoseconds) {
         long share = PAID_LINK_BYTES_PER_SECOND / Math.max(1, nodesInRegion);
-        return new MeasuringBudget(share, nowNanoseconds);
+        return new MeasurementBudget(share, nowNanoseconds);
     }
 
     /** Spends the bytes if the budget allows; otherwise they must not be sent. */
-    public boolean trySpend(MeasuringKind kind, int bytes, long nowNanoseconds) {
+    public boolean trySpend(MeasurementKind kind, int bytes, long nowNanoseconds) {
         fill(nowNanoseconds);
-        double kept = kind == MeasuringKind.PROBE ? SHARE_KEPT_FROM_PROBES * burstBytes : 0;
+        double kept = kind == MeasurementKind.PROBE ? SHARE_KEPT_FROM_PROBES * burstBytes : 0;
         if (tokens - bytes < kept) {
             deniedBytes.merge(kind, (long) bytes, Long::sum);
             return false;
@@ -67,12 +67,12 @@
     }
 
     /** All bytes spent on this kind so far. */
-    public long spentBytes(MeasuringKind kind) {
+    public long spentBytes(MeasurementKind kind) {
         return spentBytes.getOrDefault(kind, 0L);
     }
 
     /** All bytes of this kind that the budget did not allow. */
-    public long deniedBytes(MeasuringKind kind) {
+    public long deniedBytes(MeasurementKind kind) {
         return deniedBytes.getOrDefault(kind, 0L);
     }
 
--- a/core/src/main/java/org/damaskmoor/core/load/ProbePlanner.java
+++ b/core/src/main/java/org/damaskmoor/core/load/ProbePlanner.java
@@ -38,7 +38,7 @@
     private static final int MOST_PROBES_AT_ONCE = 4;
 
     private final RegionName ownRegion;
-    private final MeasuringBudget budget;
+    private final MeasurementBudget budget;
     private Map<TargetId, Silence> silences = new HashMap<>();
     private boolean everUsed;
     private long usedAtNanoseconds;
@@ -53,7 +53,7 @@
         }
     }
 
-    public ProbePlanner(RegionName ownRegion, MeasuringBudget budget) {
+    public ProbePlanner(RegionName ownRegion, MeasurementBudget budget) {
         this.ownRegion = ownRegion;
         this.budget = budget;
     }
@@ -78,7 +78,7 @@
     }
 
     /** A load report of the target came, by whatever means. */
-    public void onHeard(TargetId target, long nowNanoseconds) {
+    public void onLoadReport(TargetId target, long nowNanoseconds) {
         Silence silence = silences.get(target);
         if (silence != null) {
             silence.sinceNanoseconds = nowNanoseconds;
@@ -92,7 +92,7 @@
             return planned;
         }
         for (Silence silence : longestSilences(nowNanoseconds)) {
-            if (!budget.trySpend(MeasuringKind.PROBE, PROBE_BYTES, nowNanoseconds)) {
+            if (!budget.trySpend(MeasurementKind.PROBE, PROBE_BYTES, nowNanoseconds)) {
                 return planned;
             }
             silence.sinceNanoseconds = nowNanoseconds;
--- a/core/src/main/java/org/damaskmoor/core/load/RegionSummaries.java
+++ b/core/src/main/java/org/damaskmoor/core/load/RegionSummarizer.java
@@ -20,7 +20,7 @@
  * #GREATEST_INTERVAL_MILLISECONDS}. Targets that were not heard of lately count with the mean of
  * the others. Not thread-safe.
  */
-public final class RegionSummaries {
+public final class RegionSummarizer {
     /** 340 services, 3 other regions and 80 bytes each 2.5 s: 33 KB/s, within the link's share. */
     public static final long LEAST_INTERVAL_MILLISECONDS = 2500;
 
@@ -39,7 +39,7 @@
 
     private record Heard(LoadReport report, long atNanoseconds) {}
 
-    public RegionSummaries(ServiceName service, RegionName region) {
+    public RegionSummarizer(ServiceName service, RegionName region) {
         this.service = service;
         this.region = region;
     }
@@ -48,14 +48,15 @@
      * The node that sends the summaries of a service: the one with the greatest hash of both names.
      * Nodes that see different members may both send, which does no harm.
      */
-    public static Optional<NodeId> sender(ServiceName service, Collection<NodeId> nodesOfRegion) {
+    public static Optional<NodeId> electSender(
+            ServiceName service, Collection<NodeId> nodesOfRegion) {
         long serviceHash = StableHash.of(service.value());
         return nodesOfRegion.stream()
                 .max((a, b) -> Long.compare(rank(serviceHash, a), rank(serviceHash, b)));
     }
 
     /** A load report of a target of the own region came. */
-    public void onHeard(TargetId target, LoadReport report, long nowNanoseconds) {
+    public void onLoadReport(TargetId target, LoadReport report, long nowNanoseconds) {
         if (report.getLimit() > 0) {
             heard.put(target, new Heard(report, nowNanoseconds));
         }
@@ -88,7 +89,7 @@
     }
 
     /** The summary to send now, if one is due; counts as sent. */
-    public Optional<RegionSummary> due(int targets, long nowNanoseconds) {
+    public Optional<RegionSummary> pollDue(int targets, long nowNanoseconds) {
         long sinceSent = TimeUnit.NANOSECONDS.toMillis(nowNanoseconds - sentAtNanoseconds);
         if (everSent && sinceSent < LEAST_INTERVAL_MILLISECONDS) {
             return Optional.empty();
--- a/core/src/main/java/org/damaskmoor/core/membership/MembershipProtocol.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/MembershipProtocol.java
@@ -7,7 +7,7 @@
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.core.id.RegionName;
 import org.damaskmoor.core.id.ServiceName;
-import org.damaskmoor.core.membership.internal.Protocol;
+import org.damaskmoor.core.membership.internal.SwimProtocol;
 import org.damaskmoor.schema.gossip.ConfigurationVersion;
 import org.damaskmoor.schema.gossip.GossipMessage;
 import org.damaskmoor.schema.gossip.MemberRecord;
@@ -38,7 +38,7 @@
     /** How often {@link #tick} is to be called, in milliseconds. */
     public static final long TICK_MILLISECONDS = 100;
 
-    private final Protocol protocol;
+    private final SwimProtocol protocol;
 
     /**
      * Starts alone; call {@link #join} next.
@@ -55,7 +55,8 @@
             RandomGenerator random,
             long nowMilliseconds) {
         protocol =
-                new Protocol(self, settings, sender, listener, extension, random, nowMilliseconds);
+                new SwimProtocol(
+                        self, settings, sender, listener, extension, random, nowMilliseconds);
     }
 
     /**
@@ -84,8 +85,8 @@
     }
 
     /** Tells all members a change of the own upstream; without a change nothing is sent. */
-    public void announceSelf(UpstreamState state, int capacity, long nowMilliseconds) {
-        protocol.announceSelf(state, capacity, nowMilliseconds);
+    public void announceUpstream(UpstreamState state, int capacity, long nowMilliseconds) {
+        protocol.announceUpstream(state, capacity, nowMilliseconds);
     }
 
     /** Tells all members which service the own upstream runs; without a change nothing is sent. */
@@ -99,18 +100,18 @@
     }
 
     /** Tells all nodes that a version of a service's configuration exists. */
-    public void spread(ConfigurationVersion version) {
-        protocol.spread(version);
+    public void broadcast(ConfigurationVersion version) {
+        protocol.broadcast(version);
     }
 
     /** Tells all nodes of a request that crashes upstreams. */
-    public void spread(QuarantineRecord record) {
-        protocol.spread(record);
+    public void broadcast(QuarantineRecord record) {
+        protocol.broadcast(record);
     }
 
     /** Tells one member which versions this node holds, in as many datagrams as needed. */
-    public void tell(NodeId member, List<ConfigurationVersion> versions) {
-        protocol.tell(member.value(), versions);
+    public void sendVersions(NodeId member, List<ConfigurationVersion> versions) {
+        protocol.sendVersions(member.value(), versions);
     }
 
     /** This node's record as it stands. */
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/AntiEntropy.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/AntiEntropy.java
@@ -24,18 +24,18 @@
     private static final int PAGE_OVERHEAD_BYTES = 250;
     private static final long REPEAT_INTERVAL_MILLISECONDS = 3_000;
 
-    private final Group group;
-    private final Regions regions;
+    private final MembershipView group;
+    private final RegionReachability regions;
     private final Map<String, Long> nextExchangeMilliseconds = new HashMap<>();
 
-    AntiEntropy(Group group, Regions regions) {
+    AntiEntropy(MembershipView group, RegionReachability regions) {
         this.group = group;
         this.regions = regions;
     }
 
     void tick(long nowMilliseconds) {
         exchangeWhenDue(group.region(), nowMilliseconds);
-        for (String region : regions.bridged()) {
+        for (String region : regions.bridgedRegions()) {
             exchangeWhenDue(region, nowMilliseconds);
         }
     }
@@ -56,7 +56,7 @@
     }
 
     /** Exchanges digests with a region at the next tick. */
-    void exchangeSoon(String region) {
+    void scheduleExchange(String region) {
         nextExchangeMilliseconds.put(region, 0L);
     }
 
@@ -65,7 +65,7 @@
         for (int bucket = 0; bucket < RecordOrder.buckets(); bucket++) {
             digests.addBuckets(group.table.digest(bucket));
         }
-        group.outbox.sendBare(to, GossipMessage.newBuilder().setMemberDigests(digests));
+        group.outbox.sendWithoutPiggyback(to, GossipMessage.newBuilder().setMemberDigests(digests));
     }
 
     void onDigests(
@@ -77,7 +77,7 @@
         if (!digests.getAnswer()) {
             sendDigests(from, true);
         }
-        sendPages(group.table.recordsOf(differing), from);
+        sendPages(group.table.recordsInBuckets(differing), from);
         if (digests.getAnswer() && peer != null) {
             long again = nowMilliseconds + REPEAT_INTERVAL_MILLISECONDS;
             nextExchangeMilliseconds.merge(peer.record.getRegion(), again, Math::min);
@@ -104,15 +104,15 @@
         int start = 0;
         while (start < records.size()) {
             MemberPage.Builder page = MemberPage.newBuilder();
-            List<MemberRecord> fitting = fitting(records.subList(start, records.size()));
+            List<MemberRecord> fitting = firstPage(records.subList(start, records.size()));
             page.addAllMembers(fitting);
             start += fitting.size();
-            group.outbox.sendBare(to, GossipMessage.newBuilder().setMemberPage(page));
+            group.outbox.sendWithoutPiggyback(to, GossipMessage.newBuilder().setMemberPage(page));
         }
     }
 
     /** The first records that fit into one datagram; at least one. */
-    List<MemberRecord> fitting(Iterable<MemberRecord> records) {
+    List<MemberRecord> firstPage(Iterable<MemberRecord> records) {
         int left = group.settings.datagramBytes() - PAGE_OVERHEAD_BYTES;
         List<MemberRecord> fitting = new ArrayList<>();
         for (MemberRecord record : records) {
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/NewsQueue.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/BroadcastQueue.java
@@ -19,7 +19,7 @@
  * <p>Invariants: of each subject only the newest item waits; each item is handed out a bounded
  * number of times. Confined to the thread that drives the protocol.
  */
-final class NewsQueue {
+final class BroadcastQueue {
     private static final int FIELD_OVERHEAD_BYTES = 4;
 
     private final Map<Object, Long> newest = new HashMap<>();
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/Spread.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/Disseminator.java
@@ -15,16 +15,16 @@
  *
  * <p>Confined to the thread that drives the protocol.
  */
-final class Spread {
+final class Disseminator {
     private static final int SENDINGS_PER_DECADE = 4;
     private static final int FEWEST_DECADES = 2;
     private static final int SENDINGS_TO_OTHER_REGION = 2;
 
     private final String ownRegion;
-    private final NewsQueue local = new NewsQueue();
-    private final Map<String, NewsQueue> remote = new HashMap<>();
+    private final BroadcastQueue local = new BroadcastQueue();
+    private final Map<String, BroadcastQueue> remote = new HashMap<>();
 
-    Spread(String ownRegion) {
+    Disseminator(String ownRegion) {
         this.ownRegion = ownRegion;
     }
 
@@ -63,18 +63,18 @@
     }
 
     /** Tells which regions this node bridges to from now on. */
-    void bridgeTo(Set<String> regions) {
+    void setBridgedRegions(Set<String> regions) {
         remote.keySet().retainAll(regions);
-        regions.forEach(region -> remote.computeIfAbsent(region, name -> new NewsQueue()));
+        regions.forEach(region -> remote.computeIfAbsent(region, name -> new BroadcastQueue()));
     }
 
-    boolean hasNewsFor(String region) {
-        NewsQueue queue = queueFor(region);
+    boolean hasUpdatesFor(String region) {
+        BroadcastQueue queue = queueFor(region);
         return queue != null && !queue.isEmpty();
     }
 
     void fill(GossipMessage.Builder message, String region, int budgetBytes, int regionSize) {
-        NewsQueue queue = queueFor(region);
+        BroadcastQueue queue = queueFor(region);
         if (queue == null || queue.isEmpty()) {
             return;
         }
@@ -88,7 +88,7 @@
         return SENDINGS_PER_DECADE * (int) decades;
     }
 
-    private NewsQueue queueFor(String region) {
+    private BroadcastQueue queueFor(String region) {
         return region.equals(ownRegion) ? local : remote.get(region);
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/Relays.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/IndirectProbes.java
@@ -17,16 +17,16 @@
  * <p>Invariant: each request is answered at most once with a negative acknowledgement. Confined to
  * the thread that drives the protocol.
  */
-final class Relays {
+final class IndirectProbes {
     private static final int MOST_AT_ONCE = 1_000;
 
-    private final Group group;
+    private final MembershipView group;
     private final Map<Long, Relay> bySequence = new HashMap<>();
 
     private record Relay(
             InetSocketAddress asker, Member askingMember, PingRequest request, long deadline) {}
 
-    Relays(Group group) {
+    IndirectProbes(MembershipView group) {
         this.group = group;
     }
 
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/Joiner.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/Joiner.java
@@ -18,7 +18,7 @@
     private static final long ANSWER_TIMEOUT_MILLISECONDS = 1_000;
     private static final int MOST_PER_PAGE = 40;
 
-    private final Group group;
+    private final MembershipView group;
     private final AntiEntropy pages;
     private final List<InetSocketAddress> peers = new ArrayList<>();
     private int peer;
@@ -27,7 +27,7 @@
     private boolean joined;
     private long deadlineMilliseconds;
 
-    Joiner(Group group, AntiEntropy pages) {
+    Joiner(MembershipView group, AntiEntropy pages) {
         this.group = group;
         this.pages = pages;
     }
@@ -69,13 +69,14 @@
     private void ask(long nowMilliseconds) {
         deadlineMilliseconds = nowMilliseconds + ANSWER_TIMEOUT_MILLISECONDS;
         Join.Builder join = Join.newBuilder().setSelf(group.self).setFrom(place);
-        group.outbox.sendBare(peers.get(peer), GossipMessage.newBuilder().setJoin(join));
+        group.outbox.sendWithoutPiggyback(
+                peers.get(peer), GossipMessage.newBuilder().setJoin(join));
     }
 
     void onJoin(Join join, InetSocketAddress from, long nowMilliseconds) {
-        group.learn(join.getSelf(), true, nowMilliseconds);
+        group.mergeRecord(join.getSelf(), true, nowMilliseconds);
         List<MemberRecord> waiting = group.table.recordsFrom(join.getFrom(), MOST_PER_PAGE + 1);
-        List<MemberRecord> fitting = pages.fitting(waiting);
+        List<MemberRecord> fitting = pages.firstPage(waiting);
         String next =
                 fitting.size() < waiting.size() ? waiting.get(fitting.size()).getNodeId() : "";
         MemberPage.Builder page =
@@ -84,7 +85,7 @@
                         .setFrom(join.getFrom())
                         .setNext(next)
                         .setJoining(true);
-        group.outbox.sendBare(from, GossipMessage.newBuilder().setMemberPage(page));
+        group.outbox.sendWithoutPiggyback(from, GossipMessage.newBuilder().setMemberPage(page));
     }
 
     void onPage(MemberPage page, long nowMilliseconds) {
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/LocalHealth.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/LocalHealth.java
@@ -11,15 +11,15 @@
 
     private int score;
 
-    void better() {
+    void improve() {
         score = Math.max(0, score - 1);
     }
 
-    void worse(int by) {
+    void degrade(int by) {
         score = Math.min(WORST_SCORE, score + by);
     }
 
-    long stretch(long milliseconds) {
+    long scale(long milliseconds) {
         return milliseconds * (score + 1);
     }
 
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/MemberTable.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/MemberTable.java
@@ -157,7 +157,7 @@
     }
 
     /** All records, also of the dead and the left, of the given buckets. */
-    List<MemberRecord> recordsOf(BitSet buckets) {
+    List<MemberRecord> recordsInBuckets(BitSet buckets) {
         List<MemberRecord> records = new ArrayList<>();
         for (Member member : members.values()) {
             if (buckets.get(RecordOrder.bucketOf(member.id()))) {
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/Group.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/MembershipView.java
@@ -16,19 +16,19 @@
  * <p>Invariants: only the node itself raises its revision; a record taken in is told onwards unless
  * the caller says otherwise. Confined to the thread that drives the protocol.
  */
-final class Group {
+final class MembershipView {
     final MembershipSettings settings;
     final RandomGenerator random;
     final MemberTable table;
-    final Spread spread;
-    final Outbox outbox;
+    final Disseminator spread;
+    final MessageSender outbox;
     final LocalHealth health = new LocalHealth();
-    final Suspicions suspicions;
+    final SuspicionTimers suspicions;
     private final MemberListener listener;
     MemberRecord self;
     private boolean superseded;
 
-    Group(
+    MembershipView(
             MemberRecord self,
             MembershipSettings settings,
             DatagramSender sender,
@@ -40,9 +40,9 @@
         this.random = random;
         this.listener = listener;
         this.table = new MemberTable(random);
-        this.spread = new Spread(self.getRegion());
-        this.outbox = new Outbox(this, sender, extension);
-        this.suspicions = new Suspicions(this);
+        this.spread = new Disseminator(self.getRegion());
+        this.outbox = new MessageSender(this, sender, extension);
+        this.suspicions = new SuspicionTimers(this);
         table.merge(self, 0);
     }
 
@@ -55,7 +55,7 @@
     }
 
     /** Replaces the own record by one with the next revision and tells it onwards. */
-    void changeSelf(MemberRecord.Builder changed, long nowMilliseconds) {
+    void updateSelf(MemberRecord.Builder changed, long nowMilliseconds) {
         self = changed.setRevision(self.getRevision() + 1).build();
         table.merge(self, nowMilliseconds);
         spread.add(self);
@@ -65,17 +65,17 @@
         MemberRecord record = member.record;
         if (member.isPresent()) {
             MemberRecord.Builder suspected = record.toBuilder().setState(MemberState.SUSPECT);
-            learn(suspected.setSuspectedBy(self.getNodeId()).build(), true, nowMilliseconds);
+            mergeRecord(suspected.setSuspectedBy(self.getNodeId()).build(), true, nowMilliseconds);
         }
     }
 
     void declareDead(Member member, long nowMilliseconds) {
         MemberRecord.Builder dead = member.record.toBuilder().setState(MemberState.DEAD);
-        learn(dead.clearSuspectedBy().build(), true, nowMilliseconds);
+        mergeRecord(dead.clearSuspectedBy().build(), true, nowMilliseconds);
     }
 
     /** Takes in what was heard of a member. */
-    void learn(MemberRecord heard, boolean tellOnwards, long nowMilliseconds) {
+    void mergeRecord(MemberRecord heard, boolean tellOnwards, long nowMilliseconds) {
         if (isSelf(heard.getNodeId())) {
             learnOfSelf(heard, nowMilliseconds);
             return;
@@ -101,7 +101,7 @@
         }
     }
 
-    /** Fills in what {@link Spread} left out; null when nothing is known of the member. */
+    /** Fills in what {@link Disseminator} left out; null when nothing is known of the member. */
     private MemberRecord complete(MemberRecord heard) {
         if (!heard.getRegion().isEmpty()) {
             return heard;
@@ -130,8 +130,8 @@
             spread.add(self);
         } else if (newer && self.getState() != MemberState.LEFT) {
             self = self.toBuilder().setRevision(record.getRevision()).build();
-            changeSelf(self.toBuilder(), nowMilliseconds);
-            health.worse(1);
+            updateSelf(self.toBuilder(), nowMilliseconds);
+            health.degrade(1);
         }
     }
 
@@ -157,7 +157,7 @@
         return record.getState() == MemberState.SUSPECT ? Kind.SUSPECT : Kind.CHANGED;
     }
 
-    void report(MemberEvent event) {
+    void publish(MemberEvent event) {
         listener.onEvent(event);
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/Outbox.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/MessageSender.java
@@ -13,16 +13,16 @@
  * <p>Invariant: sequences grow and are never used twice. Confined to the thread that drives the
  * protocol.
  */
-final class Outbox {
+final class MessageSender {
     /** What header and body need at most, in bytes. */
     private static final int RESERVED_BYTES = 250;
 
-    private final Group group;
+    private final MembershipView group;
     private final DatagramSender sender;
     private final GossipExtension extension;
     private long lastSequence;
 
-    Outbox(Group group, DatagramSender sender, GossipExtension extension) {
+    MessageSender(MembershipView group, DatagramSender sender, GossipExtension extension) {
         this.group = group;
         this.sender = sender;
         this.extension = extension;
@@ -43,11 +43,11 @@
         String region = to == null ? group.region() : to.record.getRegion();
         int size = group.table.presentIn(group.region()).size();
         group.spread.fill(message, region, budget, size);
-        return sendBare(address, message);
+        return sendWithoutPiggyback(address, message);
     }
 
     /** Sends a message whose body needs all of the datagram. */
-    long sendBare(InetSocketAddress address, GossipMessage.Builder message) {
+    long sendWithoutPiggyback(InetSocketAddress address, GossipMessage.Builder message) {
         MemberRecord self = group.self;
         long sequence = ++lastSequence;
         message.setSender(self.getNodeId());
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/Prober.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/Prober.java
@@ -16,7 +16,7 @@
 final class Prober {
     private static final long DEAD_PROBE_INTERVAL_MILLISECONDS = 10_000;
 
-    private final Group group;
+    private final MembershipView group;
     private int cursor;
     private Probe probe;
     private long nextProbeMilliseconds;
@@ -39,7 +39,7 @@
         }
     }
 
-    Prober(Group group, long nowMilliseconds) {
+    Prober(MembershipView group, long nowMilliseconds) {
         this.group = group;
         long interval = group.settings.probeIntervalMilliseconds();
         nextProbeMilliseconds = nowMilliseconds + group.random.nextLong(interval);
@@ -58,13 +58,13 @@
     }
 
     /** Drops the probe under way: this node stood still, so its silence says nothing. */
-    void forgetProbe() {
+    void cancelProbe() {
         probe = null;
     }
 
     private void start(long nowMilliseconds) {
         long interval = group.settings.probeIntervalMilliseconds();
-        nextProbeMilliseconds = nowMilliseconds + group.health.stretch(interval);
+        nextProbeMilliseconds = nowMilliseconds + group.health.scale(interval);
         Member target = nextTarget();
         if (target != null) {
             probe = new Probe(target, ping(target), nowMilliseconds);
@@ -93,10 +93,10 @@
 
     private void follow(long nowMilliseconds) {
         long waited = nowMilliseconds - probe.startedMilliseconds;
-        if (waited >= group.health.stretch(group.settings.probeIntervalMilliseconds())) {
+        if (waited >= group.health.scale(group.settings.probeIntervalMilliseconds())) {
             fail(nowMilliseconds);
         } else if (!probe.indirect
-                && waited >= group.health.stretch(group.settings.probeTimeoutMilliseconds())) {
+                && waited >= group.health.scale(group.settings.probeTimeoutMilliseconds())) {
             askOthers();
         }
     }
@@ -118,7 +118,7 @@
 
     private void fail(long nowMilliseconds) {
         int silentHelpers = Math.max(0, probe.helpersAsked - probe.helpersThatAnswered);
-        group.health.worse(probe.helpersAsked == 0 ? 1 : silentHelpers);
+        group.health.degrade(probe.helpersAsked == 0 ? 1 : silentHelpers);
         Probe failed = probe;
         probe = null;
         if (failed.target.record.getIncarnation() == failed.incarnation) {
@@ -140,7 +140,7 @@
     void onAcknowledgement(Acknowledgement acknowledgement) {
         if (probe != null && probe.sequence == acknowledgement.getOfSequence()) {
             probe = null;
-            group.health.better();
+            group.health.improve();
         }
     }
 
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/RemoteRegion.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/RegionProber.java
@@ -9,12 +9,12 @@
  *
  * <p>Invariant: at most one probe is under way. Confined to the thread that drives the protocol.
  */
-final class RemoteRegion {
+final class RegionProber {
     private static final int PROBES_FOR_UNREACHABLE = 6;
     private static final int PROBES_FOR_REACHABLE = 3;
     private static final long PROBE_INTERVAL_MILLISECONDS = 1_000;
 
-    private final Group group;
+    private final MembershipView group;
     private final String region;
     private long probeSequence = -1;
     private long nextProbeMilliseconds;
@@ -22,7 +22,7 @@
     private int answeredInRow;
     private boolean unreachable;
 
-    RemoteRegion(Group group, String region, long nowMilliseconds) {
+    RegionProber(MembershipView group, String region, long nowMilliseconds) {
         this.group = group;
         this.region = region;
         nextProbeMilliseconds =
@@ -59,7 +59,7 @@
         return count(true);
     }
 
-    void forgetProbe() {
+    void cancelProbe() {
         probeSequence = -1;
     }
 
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/Regions.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/RegionReachability.java
@@ -20,19 +20,19 @@
  * <p>Invariant: of each observer only the newest opinion counts, and only while it bridges.
  * Confined to the thread that drives the protocol.
  */
-final class Regions {
+final class RegionReachability {
     private static final long CHOICE_INTERVAL_MILLISECONDS = 2_000;
     private static final long REPEAT_INTERVAL_MILLISECONDS = 30_000;
 
-    private final Group group;
-    private final Map<String, RemoteRegion> bridged = new HashMap<>();
+    private final MembershipView group;
+    private final Map<String, RegionProber> bridged = new HashMap<>();
     private final Map<String, List<Member>> bridges = new HashMap<>();
     private final Map<String, Map<String, RegionOpinion>> opinions = new HashMap<>();
     private final Set<String> unreachable = new HashSet<>();
     private long nextChoiceMilliseconds;
     private long nextRepeatMilliseconds;
 
-    Regions(Group group) {
+    RegionReachability(MembershipView group) {
         this.group = group;
     }
 
@@ -41,7 +41,7 @@
     }
 
     /** Regions that this node bridges to. */
-    Set<String> bridged() {
+    Set<String> bridgedRegions() {
         return bridged.keySet();
     }
 
@@ -50,7 +50,7 @@
             nextChoiceMilliseconds = nowMilliseconds + CHOICE_INTERVAL_MILLISECONDS;
             chooseBridges(nowMilliseconds);
         }
-        for (Map.Entry<String, RemoteRegion> entry : bridged.entrySet()) {
+        for (Map.Entry<String, RegionProber> entry : bridged.entrySet()) {
             if (entry.getValue().tick(nowMilliseconds)) {
                 tellOpinion(entry.getKey(), entry.getValue().isUnreachable());
             }
@@ -72,13 +72,13 @@
             bridges.put(region, chosen);
             if (chosen.stream().anyMatch(member -> group.isSelf(member.id()))) {
                 bridged.computeIfAbsent(
-                        region, name -> new RemoteRegion(group, name, nowMilliseconds));
+                        region, name -> new RegionProber(group, name, nowMilliseconds));
             } else {
                 bridged.remove(region);
             }
             judge(region);
         }
-        group.spread.bridgeTo(bridged.keySet());
+        group.spread.setBridgedRegions(bridged.keySet());
     }
 
     private List<Member> choose(String region) {
@@ -100,7 +100,7 @@
 
     /** Takes in the answer to a probe of another region. */
     void onAcknowledgement(Acknowledgement acknowledgement) {
-        for (Map.Entry<String, RemoteRegion> entry : bridged.entrySet()) {
+        for (Map.Entry<String, RegionProber> entry : bridged.entrySet()) {
             if (entry.getValue().onAcknowledgement(acknowledgement.getOfSequence())) {
                 tellOpinion(entry.getKey(), entry.getValue().isUnreachable());
             }
@@ -108,8 +108,8 @@
     }
 
     /** Drops the probes under way: this node stood still, so their silence says nothing. */
-    void forgetProbes() {
-        bridged.values().forEach(RemoteRegion::forgetProbe);
+    void cancelProbes() {
+        bridged.values().forEach(RegionProber::cancelProbe);
     }
 
     private void tellOpinion(String region, boolean isUnreachable) {
@@ -123,7 +123,7 @@
                         .setVersion(version)
                         .setUnreachable(isUnreachable)
                         .build();
-        learn(opinion);
+        mergeOpinion(opinion);
     }
 
     private void repeatOpinions() {
@@ -136,7 +136,7 @@
     }
 
     /** Takes in an opinion, also from this node itself, and tells it onwards when it is new. */
-    void learn(RegionOpinion opinion) {
+    void mergeOpinion(RegionOpinion opinion) {
         RegionOpinion known = opinionsOn(opinion.getRegion()).get(opinion.getObserver());
         if (known != null && !isNewer(opinion, known)) {
             return;
@@ -160,9 +160,9 @@
         long against = observers.stream().filter(each -> saysUnreachable(each, region)).count();
         boolean verdict = against * 2 > observers.size();
         if (verdict && unreachable.add(region)) {
-            group.report(MemberEvent.ofRegion(Kind.REGION_UNREACHABLE, region));
+            group.publish(MemberEvent.ofRegion(Kind.REGION_UNREACHABLE, region));
         } else if (!verdict && unreachable.remove(region)) {
-            group.report(MemberEvent.ofRegion(Kind.REGION_REACHABLE, region));
+            group.publish(MemberEvent.ofRegion(Kind.REGION_REACHABLE, region));
         }
     }
 
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/Suspicions.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/SuspicionTimers.java
@@ -16,10 +16,10 @@
  * <p>Invariant: only members that stand as suspect have an entry. Confined to the thread that
  * drives the protocol.
  */
-final class Suspicions {
+final class SuspicionTimers {
     private static final int CONFIRMATIONS_FOR_SHORTEST_WAIT = 3;
 
-    private final Group group;
+    private final MembershipView group;
     private final Map<String, Suspicion> suspicions = new HashMap<>();
 
     private static final class Suspicion {
@@ -32,7 +32,7 @@
         }
     }
 
-    Suspicions(Group group) {
+    SuspicionTimers(MembershipView group) {
         this.group = group;
     }
 
@@ -75,7 +75,7 @@
     }
 
     /** A time in which this node stood still does not count against others. */
-    void postpone(long milliseconds) {
+    void extend(long milliseconds) {
         suspicions.values().forEach(each -> each.startedMilliseconds += milliseconds);
     }
 
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/Protocol.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/SwimProtocol.java
@@ -25,23 +25,23 @@
  * <p>Invariant: a message of a process that is not the newest start of its node changes nothing.
  * Confined to the thread that drives the protocol.
  */
-public final class Protocol {
+public final class SwimProtocol {
     private static final long STANDSTILL_MILLISECONDS = 1_000;
     private static final long TOMBSTONE_CHECK_MILLISECONDS = 60_000;
     private static final int VERSIONS_PER_DATAGRAM = 12;
 
-    private final Group group;
+    private final MembershipView group;
     private final GossipExtension extension;
     private final Prober prober;
-    private final Relays relays;
-    private final Regions regions;
+    private final IndirectProbes relays;
+    private final RegionReachability regions;
     private final AntiEntropy antiEntropy;
     private final Joiner joiner;
     private long lastTickMilliseconds;
     private long nextGossipMilliseconds;
     private long nextTombstoneCheckMilliseconds;
 
-    public Protocol(
+    public SwimProtocol(
             MemberRecord self,
             MembershipSettings settings,
             DatagramSender sender,
@@ -50,11 +50,11 @@
             RandomGenerator random,
             long nowMilliseconds) {
         MemberRecord alive = self.toBuilder().setState(MemberState.ALIVE).build();
-        this.group = new Group(alive, settings, sender, listener, extension, random);
+        this.group = new MembershipView(alive, settings, sender, listener, extension, random);
         this.extension = extension;
         this.prober = new Prober(group, nowMilliseconds);
-        this.relays = new Relays(group);
-        this.regions = new Regions(group);
+        this.relays = new IndirectProbes(group);
+        this.regions = new RegionReachability(group);
         this.antiEntropy = new AntiEntropy(group, regions);
         this.joiner = new Joiner(group, antiEntropy);
         this.lastTickMilliseconds = nowMilliseconds;
@@ -89,10 +89,10 @@
 
     /** Nobody is blamed for a time in which this process did not run. */
     private void onStandstill(long milliseconds) {
-        prober.forgetProbe();
-        regions.forgetProbes();
-        group.suspicions.postpone(milliseconds);
-        antiEntropy.exchangeSoon(group.region());
+        prober.cancelProbe();
+        regions.cancelProbes();
+        group.suspicions.extend(milliseconds);
+        antiEntropy.scheduleExchange(group.region());
     }
 
     private void gossip(long nowMilliseconds) {
@@ -103,11 +103,11 @@
         for (int i = 0; i < group.settings.gossipFanout(); i++) {
             gossipTo(group.region());
         }
-        regions.bridged().forEach(this::gossipTo);
+        regions.bridgedRegions().forEach(this::gossipTo);
     }
 
     private void gossipTo(String region) {
-        if (!group.spread.hasNewsFor(region)) {
+        if (!group.spread.hasUpdatesFor(region)) {
             return;
         }
         Member member = group.table.randomIn(region, group.self.getNodeId());
@@ -131,7 +131,8 @@
         }
         Member sender = group.table.find(message.getSender());
         if (sender != null && message.getSenderIncarnation() < sender.record.getIncarnation()) {
-            group.outbox.sendBare(from, GossipMessage.newBuilder().addNews(sender.record));
+            group.outbox.sendWithoutPiggyback(
+                    from, GossipMessage.newBuilder().addNews(sender.record));
             return;
         }
         takeNews(message, sender, nowMilliseconds);
@@ -147,7 +148,7 @@
         }
         for (RegionOpinion opinion : message.getRegionNewsList()) {
             boolean wasUnreachable = regions.isUnreachable(opinion.getRegion());
-            regions.learn(opinion);
+            regions.mergeOpinion(opinion);
             exchangeAfterReturn(opinion.getRegion(), wasUnreachable);
         }
         NodeId from = new NodeId(message.getSender());
@@ -177,7 +178,7 @@
                         && record.getStateValue() >= MemberState.ALIVE_VALUE
                         && record.getStateValue() <= MemberState.LEFT_VALUE;
         if (complete) {
-            group.learn(record, tellOnwards, nowMilliseconds);
+            group.mergeRecord(record, tellOnwards, nowMilliseconds);
         }
     }
 
@@ -225,7 +226,7 @@
     private void onAcknowledgement(Acknowledgement acknowledgement) {
         prober.onAcknowledgement(acknowledgement);
         relays.onAcknowledgement(acknowledgement);
-        for (String region : List.copyOf(regions.bridged())) {
+        for (String region : List.copyOf(regions.bridgedRegions())) {
             boolean wasUnreachable = regions.isUnreachable(region);
             regions.onAcknowledgement(acknowledgement);
             exchangeAfterReturn(region, wasUnreachable);
@@ -234,17 +235,17 @@
 
     private void exchangeAfterReturn(String region, boolean wasUnreachable) {
         if (wasUnreachable && !regions.isUnreachable(region)) {
-            antiEntropy.exchangeSoon(region);
+            antiEntropy.scheduleExchange(region);
         }
     }
 
     /** See {@code MembershipProtocol}. */
-    public void announceSelf(UpstreamState state, int capacity, long nowMilliseconds) {
+    public void announceUpstream(UpstreamState state, int capacity, long nowMilliseconds) {
         MemberRecord self = group.self;
         boolean same =
                 self.getUpstreamState() == state.getNumber() && self.getCapacity() == capacity;
         if (!same && self.getState() == MemberState.ALIVE) {
-            group.changeSelf(
+            group.updateSelf(
                     self.toBuilder().setUpstreamState(state.getNumber()).setCapacity(capacity),
                     nowMilliseconds);
         }
@@ -255,29 +256,29 @@
         MemberRecord self = group.self;
         boolean same = self.getService().equals(service);
         if (!same && self.getState() == MemberState.ALIVE) {
-            group.changeSelf(self.toBuilder().setService(service), nowMilliseconds);
+            group.updateSelf(self.toBuilder().setService(service), nowMilliseconds);
         }
     }
 
     /** See {@code MembershipProtocol}. */
     public void leave(long nowMilliseconds) {
         if (group.self.getState() != MemberState.LEFT) {
-            group.changeSelf(group.self.toBuilder().setState(MemberState.LEFT), nowMilliseconds);
+            group.updateSelf(group.self.toBuilder().setState(MemberState.LEFT), nowMilliseconds);
         }
     }
 
     /** See {@code MembershipProtocol}. */
-    public void spread(ConfigurationVersion version) {
+    public void broadcast(ConfigurationVersion version) {
         group.spread.add(version);
     }
 
     /** See {@code MembershipProtocol}. */
-    public void spread(QuarantineRecord record) {
+    public void broadcast(QuarantineRecord record) {
         group.spread.add(record);
     }
 
     /** See {@code MembershipProtocol}. */
-    public void tell(String memberId, List<ConfigurationVersion> versions) {
+    public void sendVersions(String memberId, List<ConfigurationVersion> versions) {
         Member member = group.table.find(memberId);
         if (member == null) {
             return;
@@ -286,7 +287,7 @@
             int end = Math.min(versions.size(), start + VERSIONS_PER_DATAGRAM);
             GossipMessage.Builder message = GossipMessage.newBuilder();
             message.addAllConfigurationNews(versions.subList(start, end));
-            group.outbox.sendBare(member.address(), message);
+            group.outbox.sendWithoutPiggyback(member.address(), message);
         }
     }
 
--- a/core/src/main/java/org/damaskmoor/core/placement/WorkView.java
+++ b/core/src/main/java/org/damaskmoor/core/placement/CallProfile.java
@@ -7,4 +7,5 @@
  * @param objectiveMilliseconds time left in which the answer has its full worth
  * @param kilobytes what such a call and its answer carry
  */
-public record WorkView(double usualMilliseconds, double objectiveMilliseconds, double kilobytes) {}
+public record CallProfile(
+        double usualMilliseconds, double objectiveMilliseconds, double kilobytes) {}
--- a/core/src/main/java/org/damaskmoor/core/placement/Nearness.java
+++ b/core/src/main/java/org/damaskmoor/core/placement/Proximity.java
@@ -6,7 +6,7 @@
  * <p>Carrying a call farther costs time, and bytes on links that are paid by volume. The price of a
  * kilobyte is told in answers: what a kilobyte costs, divided by what an answer in time is worth.
  */
-public enum Nearness {
+public enum Proximity {
     /** The same VM. */
     SELF(0, 0),
     /** The same data centre. */
@@ -19,7 +19,7 @@
     private final double roundTripMilliseconds;
     private final double pricePerKilobyte;
 
-    Nearness(double roundTripMilliseconds, double pricePerKilobyte) {
+    Proximity(double roundTripMilliseconds, double pricePerKilobyte) {
         this.roundTripMilliseconds = roundTripMilliseconds;
         this.pricePerKilobyte = pricePerKilobyte;
     }
--- a/core/src/main/java/org/damaskmoor/core/placement/UsualWork.java
+++ b/core/src/main/java/org/damaskmoor/core/placement/RouteStatistics.java
@@ -8,7 +8,7 @@
  *
  * <p>Invariant: holds at most {@link #MOST_ROUTES} routes. Not thread-safe.
  */
-public final class UsualWork {
+public final class RouteStatistics {
     private static final double NEWS_WEIGHT = 0.05;
     private static final int FIRST_SAMPLES = 8;
     private static final int MOST_ROUTES = 4096;
@@ -32,7 +32,7 @@
     }
 
     /** A call was answered after the given time by an upstream of the given slowness. */
-    public void answered(String route, double milliseconds, double slowness, double kilobytes) {
+    public void onAnswered(String route, double milliseconds, double slowness, double kilobytes) {
         if (routes.size() >= MOST_ROUTES && !routes.containsKey(route)) {
             routes.clear();
         }
@@ -45,7 +45,7 @@
     }
 
     /** Usual time in milliseconds; 0 when no answer came yet. */
-    public double milliseconds(String route) {
+    public double meanMilliseconds(String route) {
         Means means = routes.get(route);
         return means == null ? 0 : means.milliseconds;
     }
@@ -54,7 +54,7 @@
      * Whether a call has too little time left to be answered. One of {@link #TRIED_ANYWAY} is not
      * said to be, so that a time that was learnt while upstreams were slow is unlearnt again.
      */
-    public boolean isTooShort(String route, double leftMilliseconds) {
+    public boolean isDeadlineTooShort(String route, double leftMilliseconds) {
         Means means = routes.get(route);
         if (means == null || leftMilliseconds >= LEAST_WORK_SHARE * means.milliseconds) {
             return false;
@@ -64,7 +64,7 @@
     }
 
     /** Usual size of a call and its answer, in kilobytes. */
-    public double kilobytes(String route) {
+    public double meanKilobytes(String route) {
         Means means = routes.get(route);
         return means == null ? UNKNOWN_KILOBYTES : means.kilobytes;
     }
--- a/core/src/main/java/org/damaskmoor/core/placement/TargetChooser.java
+++ b/core/src/main/java/org/damaskmoor/core/placement/TargetChooser.java
@@ -64,7 +64,10 @@
      * @param work what is known of the call
      */
     public <T> Choice<T> choose(
-            List<T> candidates, Function<T, TargetEstimate> estimateOf, WorkView work, long now) {
+            List<T> candidates,
+            Function<T, TargetEstimate> estimateOf,
+            CallProfile work,
+            long now) {
         T best = null;
         double least = Double.MAX_VALUE;
         double second = Double.MAX_VALUE;
@@ -86,7 +89,7 @@
     }
 
     /** The delay at which the target would cost as much as the given cost. */
-    private double spare(TargetEstimate target, double otherCost, WorkView work, long now) {
+    private double spare(TargetEstimate target, double otherCost, CallProfile work, long now) {
         if (otherCost == Double.MAX_VALUE) {
             return Double.MAX_VALUE;
         }
@@ -111,7 +114,8 @@
      *
      * @param delayMilliseconds added to the time until its answer
      */
-    public double cost(TargetEstimate target, WorkView work, double delayMilliseconds, long now) {
+    public double cost(
+            TargetEstimate target, CallProfile work, double delayMilliseconds, long now) {
         double time = expectedMilliseconds(target, work, now) + delayMilliseconds;
         double part = time / Math.max(1, work.objectiveMilliseconds());
         double late = Math.min(1, Math.max(0, (part - SAFE_PART) / (LATE_PART - SAFE_PART)));
@@ -122,16 +126,16 @@
     }
 
     /** Expected time until the answer of a call at a target, in milliseconds. */
-    public double expectedMilliseconds(TargetEstimate target, WorkView work, long now) {
+    public double expectedMilliseconds(TargetEstimate target, CallProfile work, long now) {
         double usual =
                 work.usualMilliseconds() > 0 ? work.usualMilliseconds() : UNKNOWN_WORK_MILLISECONDS;
-        double service = usual * target.steadySlowness();
-        double moment = Math.min(MOMENT_MILLISECONDS, usual * target.momentarySlowness(now));
+        double service = usual * target.baselineSlowness();
+        double moment = Math.min(MOMENT_MILLISECONDS, usual * target.transientSlowness(now));
         double occupancy = (target.expectedCalls(now) + 1) / target.limit();
         double waiting = Math.max(0, occupancy - 1) * service;
         double crowding = 0.1 * Math.min(1, occupancy) * service;
         double overdue =
-                Math.max(0, target.meanAge(now) - PATIENCE_IN_WORK_TIMES * service)
+                Math.max(0, target.meanInFlightAge(now) - PATIENCE_IN_WORK_TIMES * service)
                         / (1 + PATIENCE_IN_WORK_TIMES);
         return service
                 + moment
--- a/core/src/main/java/org/damaskmoor/core/placement/TargetEstimate.java
+++ b/core/src/main/java/org/damaskmoor/core/placement/TargetEstimate.java
@@ -21,7 +21,7 @@
     /** A failure rate halves in this time without news, so that a target is tried again. */
     private static final double FAILURE_HALF_LIFE_MILLISECONDS = 2000;
 
-    private final Nearness nearness;
+    private final Proximity nearness;
     private LoadSnapshot report;
     private long reportedAt;
     private int ownAtReport;
@@ -31,39 +31,39 @@
     private long failureAt;
     private long avoidUntil;
 
-    public TargetEstimate(Nearness nearness, int slots, long now) {
+    public TargetEstimate(Proximity nearness, int slots, long now) {
         this.nearness = nearness;
         this.report = LoadSnapshot.unknown(slots);
         this.reportedAt = now;
     }
 
     /** How far it stands from here. */
-    public Nearness nearness() {
+    public Proximity nearness() {
         return nearness;
     }
 
     /** A report came. */
-    public void hear(LoadSnapshot news, long now) {
+    public void onLoadReport(LoadSnapshot news, long now) {
         report = news;
         reportedAt = now;
         ownAtReport = ownInFlight;
     }
 
     /** A call was sent there. */
-    public void sent(long now) {
+    public void onSent(long now) {
         ownInFlight++;
         sumOfSent += now;
     }
 
     /** A call that was sent at the given time has ended there, in whatever way. */
-    public void ended(long sentAt) {
+    public void onEnded(long sentAt) {
         ownInFlight--;
         sumOfSent -= sentAt;
         ownAtReport = Math.max(0, ownAtReport - 1);
     }
 
     /** A call was answered or failed. */
-    public void outcome(boolean failed, long now) {
+    public void onOutcome(boolean failed, long now) {
         double rate = failureRate(now);
         failureRate = rate + FAILURE_NEWS_WEIGHT * ((failed ? 1 : 0) - rate);
         failureAt = now;
@@ -86,13 +86,13 @@
     }
 
     /** How long work takes there when no slow moment adds to it, 1 is as usual. */
-    public double steadySlowness() {
+    public double baselineSlowness() {
         return report.steadySlowness() > 0 ? report.steadySlowness() : 1;
     }
 
     /** How much longer a slow moment makes work there now; 0 when none is expected. */
-    public double momentarySlowness(long now) {
-        double told = Math.max(0, report.slowness() - steadySlowness());
+    public double transientSlowness(long now) {
+        double told = Math.max(0, report.slowness() - baselineSlowness());
         double age = now - reportedAt + report.slownessAgeMilliseconds();
         return told * Math.exp(-age / MOMENT_MEMORY_MILLISECONDS);
     }
@@ -105,7 +105,7 @@
     }
 
     /** Mean time that calls of this node have been out, in milliseconds; 0 when none is. */
-    double meanAge(long now) {
+    double meanInFlightAge(long now) {
         return ownInFlight == 0 ? 0 : (double) (now * ownInFlight - sumOfSent) / ownInFlight;
     }
 
--- a/core/src/main/java/org/damaskmoor/core/quarantine/Quarantine.java
+++ b/core/src/main/java/org/damaskmoor/core/quarantine/Quarantine.java
@@ -46,7 +46,7 @@
     boolean merge(CrashRecord record, long nowNanoseconds);
 
     /** Whether the request must be refused. */
-    boolean holds(RequestFingerprint request, long nowNanoseconds);
+    boolean isQuarantined(RequestFingerprint request, long nowNanoseconds);
 
     /** Time until the request is let through again; 0 when it is not held. */
     long retryAfterMilliseconds(RequestFingerprint request, long nowNanoseconds);
--- a/core/src/main/java/org/damaskmoor/core/quarantine/internal/Suspicion.java
+++ b/core/src/main/java/org/damaskmoor/core/quarantine/internal/CrashHistory.java
@@ -9,7 +9,7 @@
  *
  * <p>Not thread-safe.
  */
-final class Suspicion {
+final class CrashHistory {
     private static final int CRASHES_TO_HOLD = 2;
 
     private final List<Crash> crashes = new ArrayList<>(CRASHES_TO_HOLD);
@@ -36,14 +36,14 @@
     }
 
     /** Time for which the request is held, counted from now; 0 or less: it is not held. */
-    long heldNanoseconds(long now) {
+    long remainingNanoseconds(long now) {
         if (crashes.size() < CRASHES_TO_HOLD) {
             return 0;
         }
         return earliest().expiresAtNanoseconds - now;
     }
 
-    boolean over(long now) {
+    boolean isExpired(long now) {
         return crashes.stream().allMatch(crash -> crash.expiresAtNanoseconds - now <= 0);
     }
 
--- a/core/src/main/java/org/damaskmoor/core/quarantine/internal/CrashQuarantine.java
+++ b/core/src/main/java/org/damaskmoor/core/quarantine/internal/CrashQuarantine.java
@@ -30,7 +30,7 @@
     private static final int MOST_SUSPICIONS = 1024;
     private static final int MOST_PER_CRASH = 256;
 
-    private final Map<RequestFingerprint, Suspicion> suspicions = new LinkedHashMap<>();
+    private final Map<RequestFingerprint, CrashHistory> suspicions = new LinkedHashMap<>();
     private final AnsweredFingerprints answered = new AnsweredFingerprints();
 
     @Override
@@ -63,26 +63,26 @@
     }
 
     @Override
-    public boolean holds(RequestFingerprint request, long now) {
+    public boolean isQuarantined(RequestFingerprint request, long now) {
         if (suspicions.isEmpty()) {
             return false;
         }
-        Suspicion suspicion = suspicions.get(request);
-        return suspicion != null && suspicion.heldNanoseconds(now) > 0;
+        CrashHistory suspicion = suspicions.get(request);
+        return suspicion != null && suspicion.remainingNanoseconds(now) > 0;
     }
 
     @Override
     public long retryAfterMilliseconds(RequestFingerprint request, long now) {
-        Suspicion suspicion = suspicions.get(request);
-        long held = suspicion == null ? 0 : suspicion.heldNanoseconds(now);
+        CrashHistory suspicion = suspicions.get(request);
+        long held = suspicion == null ? 0 : suspicion.remainingNanoseconds(now);
         return TimeUnit.NANOSECONDS.toMillis(Math.max(0, held));
     }
 
     @Override
     public List<CrashRecord> records(long now) {
-        suspicions.values().removeIf(suspicion -> suspicion.over(now));
+        suspicions.values().removeIf(suspicion -> suspicion.isExpired(now));
         List<CrashRecord> records = new ArrayList<>();
-        for (Suspicion suspicion : suspicions.values()) {
+        for (CrashHistory suspicion : suspicions.values()) {
             records.addAll(suspicion.records(now));
         }
         return records;
@@ -104,23 +104,23 @@
         return (int) Math.max(0, TimeUnit.NANOSECONDS.toSeconds(nanoseconds));
     }
 
-    private Suspicion suspicionOf(RequestFingerprint request, long now) {
-        Suspicion known = suspicions.get(request);
+    private CrashHistory suspicionOf(RequestFingerprint request, long now) {
+        CrashHistory known = suspicions.get(request);
         if (known != null) {
             return known;
         }
         if (suspicions.size() >= MOST_SUSPICIONS) {
             makeRoom(now);
         }
-        Suspicion suspicion = new Suspicion();
+        CrashHistory suspicion = new CrashHistory();
         suspicions.put(request, suspicion);
         return suspicion;
     }
 
     private void makeRoom(long now) {
-        suspicions.values().removeIf(suspicion -> suspicion.over(now));
+        suspicions.values().removeIf(suspicion -> suspicion.isExpired(now));
         if (suspicions.size() >= MOST_SUSPICIONS) {
-            Iterator<Suspicion> oldest = suspicions.values().iterator();
+            Iterator<CrashHistory> oldest = suspicions.values().iterator();
             oldest.next();
             oldest.remove();
         }
--- a/core/src/main/java/org/damaskmoor/core/waiting/CrowdingCurve.java
+++ b/core/src/main/java/org/damaskmoor/core/queueing/AdaptiveConcurrencyLimit.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.waiting;
+package org.damaskmoor.core.queueing;
 
 import java.util.Arrays;
 
@@ -9,7 +9,7 @@
  * <p>For each number of calls that run together it keeps how much longer than usual they took. The
  * best number is the one with the most answers a second, not the greatest. Not thread-safe.
  */
-public final class CrowdingCurve {
+public final class AdaptiveConcurrencyLimit {
     /** Samples of one number of calls before it is believed. */
     private static final int ENOUGH_SAMPLES = 12;
 
@@ -31,7 +31,7 @@
      * @param together calls that ran when it started, itself included
      * @param stretched the time it took, in usual times
      */
-    public void answered(int together, double stretched) {
+    public void onAnswered(int together, double stretched) {
         grow(together);
         samples[together]++;
         double weight = Math.max(NEWS_WEIGHT, 1.0 / samples[together]);
@@ -39,7 +39,7 @@
     }
 
     /** How many calls to run at once on an upstream with so many slots. */
-    public int best(int slots) {
+    public int limit(int slots) {
         int least = Math.max(1, (int) Math.ceil(slots * LEAST_PART));
         int best = slots;
         double most = 0;
--- a/core/src/main/java/org/damaskmoor/core/waiting/WaitingRoom.java
+++ b/core/src/main/java/org/damaskmoor/core/queueing/AdmissionQueue.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.waiting;
+package org.damaskmoor.core.queueing;
 
 import java.util.ArrayList;
 import java.util.Iterator;
@@ -28,7 +28,7 @@
  * <p>Invariants: never more running than the limit, save after the limit fell; a call leaves the
  * room once. Times are in milliseconds of one monotonic clock. Not thread-safe.
  */
-public final class WaitingRoom<T> {
+public final class AdmissionQueue<T> {
     /** Weight of one service time in the mean. */
     private static final double NEWS_WEIGHT = 0.1;
 
@@ -64,7 +64,7 @@
     private static final long LEAST_RETRY_AFTER_MILLISECONDS = 50;
     private static final long MOST_RETRY_AFTER_MILLISECONDS = 3000;
 
-    private final List<WaitingCall<T>> waiting = new ArrayList<>();
+    private final List<QueuedCall<T>> waiting = new ArrayList<>();
     private final List<T> displaced = new ArrayList<>();
     private final NavigableMap<Integer, Double> shareByPriority = new TreeMap<>();
     private int limit = 1;
@@ -72,7 +72,7 @@
     private double serviceMilliseconds = FIRST_SERVICE_MILLISECONDS;
 
     /** Sets how many may run at once. */
-    public void limit(int calls) {
+    public void setLimit(int calls) {
         limit = Math.max(1, calls);
     }
 
@@ -97,16 +97,16 @@
      * @param delayMilliseconds how much longer than usual it would take here, besides its turn
      * @param mayStart whether calls may be handed over at this instant
      */
-    public Verdict offer(
-            WaitingCall<T> call, double delayMilliseconds, boolean mayStart, long now) {
+    public QueueDecision offer(
+            QueuedCall<T> call, double delayMilliseconds, boolean mayStart, long now) {
         double wait = running < limit && waiting.isEmpty() ? 0 : expectedWait(call, now);
         if (!call.lastChoice() && wait + delayMilliseconds > call.spareMilliseconds()) {
-            return Verdict.sendBack(retryAfter(wait));
+            return QueueDecision.sendBack(retryAfter(wait));
         }
         if (running < limit && waiting.isEmpty() && mayStart) {
             running++;
             countUrgency(call.priority());
-            return Verdict.START;
+            return QueueDecision.START;
         }
         double service = call.usualMilliseconds() + delayMilliseconds;
         double urgent = Math.min(MOST_URGENT_SHARE, urgentShare(call.priority()));
@@ -119,19 +119,19 @@
                                 && wait <= LATE_WAIT_SHARE * (call.deadlineAt() - now)
                                 && now + wait + service <= call.deadlineAt());
         if (!worthWaiting || !makeRoom(call)) {
-            return Verdict.sendBack(retryAfter(wait));
+            return QueueDecision.sendBack(retryAfter(wait));
         }
         waiting.add(call);
-        return Verdict.WAIT;
+        return QueueDecision.WAIT;
     }
 
     /** The next call to hand over, or null when none may start now. */
-    public T next(long now) {
+    public T poll(long now) {
         if (running >= limit || waiting.isEmpty()) {
             return null;
         }
-        WaitingCall<T> best = waiting.get(0);
-        for (WaitingCall<T> call : waiting) {
+        QueuedCall<T> best = waiting.get(0);
+        for (QueuedCall<T> call : waiting) {
             if (goesBefore(call, best, now)) {
                 best = call;
             }
@@ -143,11 +143,11 @@
     }
 
     /** Takes out the calls that can no longer be served in time. */
-    public List<T> hopeless(long now) {
+    public List<T> removeExpired(long now) {
         List<T> hopeless = List.of();
-        Iterator<WaitingCall<T>> calls = waiting.iterator();
+        Iterator<QueuedCall<T>> calls = waiting.iterator();
         while (calls.hasNext()) {
-            WaitingCall<T> call = calls.next();
+            QueuedCall<T> call = calls.next();
             double usual = call.usualMilliseconds();
             boolean tooLate = now + LEAST_WORK_SHARE * usual >= call.deadlineAt();
             if (tooLate) {
@@ -160,7 +160,7 @@
     }
 
     /** Takes out the calls whose places more urgent ones have taken since the last question. */
-    public List<T> takeDisplaced() {
+    public List<T> drainDisplaced() {
         if (displaced.isEmpty()) {
             return List.of();
         }
@@ -170,7 +170,7 @@
     }
 
     /** Takes all calls out. */
-    public List<T> takeAll() {
+    public List<T> drainAll() {
         List<T> all = new ArrayList<>();
         waiting.forEach(call -> all.add(call.handle()));
         waiting.clear();
@@ -183,13 +183,13 @@
     }
 
     /** A call that ran was answered. */
-    public void ended(double milliseconds) {
-        abandoned();
+    public void onAnswered(double milliseconds) {
+        onAbandoned();
         serviceMilliseconds += NEWS_WEIGHT * (milliseconds - serviceMilliseconds);
     }
 
     /** A call that ran has ended without telling how long such calls take. */
-    public void abandoned() {
+    public void onAbandoned() {
         running--;
     }
 
@@ -198,9 +198,9 @@
         return retryAfter((waiting.size() + 1) * serviceMilliseconds / limit);
     }
 
-    private double expectedWait(WaitingCall<T> coming, long now) {
+    private double expectedWait(QueuedCall<T> coming, long now) {
         int ahead = 1 + running - limit;
-        for (WaitingCall<T> call : waiting) {
+        for (QueuedCall<T> call : waiting) {
             if (!goesBefore(coming, call, now)) {
                 ahead++;
             }
@@ -226,12 +226,12 @@
         return waiting.size() >= PRESSURE_PER_SLOT * limit;
     }
 
-    private boolean makeRoom(WaitingCall<T> coming) {
+    private boolean makeRoom(QueuedCall<T> coming) {
         if (waiting.size() < MOST_WAITING_PER_SLOT * limit) {
             return true;
         }
-        WaitingCall<T> least = null;
-        for (WaitingCall<T> call : waiting) {
+        QueuedCall<T> least = null;
+        for (QueuedCall<T> call : waiting) {
             if (least == null
                     || call.priority() > least.priority()
                     || (call.priority() == least.priority()
@@ -247,7 +247,7 @@
         return true;
     }
 
-    private boolean goesBefore(WaitingCall<T> call, WaitingCall<T> other, long now) {
+    private boolean goesBefore(QueuedCall<T> call, QueuedCall<T> other, long now) {
         if (call.priority() != other.priority()) {
             return call.priority() < other.priority();
         }
@@ -256,7 +256,7 @@
         return rank == otherRank ? call.objectiveAt() < other.objectiveAt() : rank < otherRank;
     }
 
-    private int rank(WaitingCall<T> call, long now) {
+    private int rank(QueuedCall<T> call, long now) {
         double usual = call.usualMilliseconds();
         if (usual > 0 && usual <= SHORT_PART * serviceMilliseconds) {
             return SHORT;
--- a/core/src/main/java/org/damaskmoor/core/waiting/Verdict.java
+++ b/core/src/main/java/org/damaskmoor/core/queueing/QueueDecision.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.waiting;
+package org.damaskmoor.core.queueing;
 
 /**
  * What becomes of a call that was offered. Immutable and thread-safe.
@@ -6,7 +6,7 @@
  * @param kind what to do
  * @param retryAfterMilliseconds when room is expected, for a call that is sent back; else 0
  */
-public record Verdict(Kind kind, long retryAfterMilliseconds) {
+public record QueueDecision(Kind kind, long retryAfterMilliseconds) {
     /** What to do with the call. */
     public enum Kind {
         /** Hand it over now. */
@@ -17,10 +17,10 @@
         SEND_BACK
     }
 
-    static final Verdict START = new Verdict(Kind.START, 0);
-    static final Verdict WAIT = new Verdict(Kind.WAIT, 0);
+    static final QueueDecision START = new QueueDecision(Kind.START, 0);
+    static final QueueDecision WAIT = new QueueDecision(Kind.WAIT, 0);
 
-    static Verdict sendBack(long retryAfterMilliseconds) {
-        return new Verdict(Kind.SEND_BACK, retryAfterMilliseconds);
+    static QueueDecision sendBack(long retryAfterMilliseconds) {
+        return new QueueDecision(Kind.SEND_BACK, retryAfterMilliseconds);
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/waiting/WaitingCall.java
+++ b/core/src/main/java/org/damaskmoor/core/queueing/QueuedCall.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.waiting;
+package org.damaskmoor.core.queueing;
 
 /**
  * A call that asks to run at an upstream. Immutable and thread-safe.
@@ -11,7 +11,7 @@
  * @param spareMilliseconds how much later it may start here before another target is better
  * @param lastChoice whether its entry has no other target to try
  */
-public record WaitingCall<T>(
+public record QueuedCall<T>(
         T handle,
         int priority,
         long objectiveAt,
--- a/core/src/main/java/org/damaskmoor/core/waiting/SlowMoments.java
+++ b/core/src/main/java/org/damaskmoor/core/queueing/SlowdownDetector.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.waiting;
+package org.damaskmoor.core.queueing;
 
 import java.util.ArrayDeque;
 
@@ -11,7 +11,7 @@
  *
  * <p>Times are in milliseconds of one monotonic clock. Not thread-safe.
  */
-public final class SlowMoments {
+public final class SlowdownDetector {
     /** A VM this much slower than it was lately is in a slow moment. */
     public static final double SLOWER_BY = 1.7;
 
@@ -37,7 +37,7 @@
     private boolean slow;
 
     /** The VM told how long work takes on it, 1 is as usual. */
-    public void hear(double slowness, long now) {
+    public void onReading(double slowness, long now) {
         last = slowness;
         toldAt = now;
         told = true;
@@ -56,22 +56,22 @@
     }
 
     /** How long work took on the VM at its best lately, 1 is as usual. */
-    public double steady() {
+    public double baseline() {
         return readings.isEmpty() ? 1 : readings.peekFirst().slowness();
     }
 
     /** Whether the VM has ever told its slowness. */
-    public boolean isKnown() {
+    public boolean hasReading() {
         return told;
     }
 
     /** The slowness that was told last. */
-    public double last() {
+    public double lastReading() {
         return last;
     }
 
     /** Time since it was told. */
-    public long age(long now) {
+    public long readingAge(long now) {
         return now - toldAt;
     }
 
@@ -82,14 +82,14 @@
 
     /** How much later work ends that is started here now, or as soon as that is better. */
     public double delayMilliseconds(double usualMilliseconds, double expectedSlowness, long now) {
-        if (isSlow(now)) {
-            return Math.min(USUAL_WAIT_MILLISECONDS, usualMilliseconds * (last - steady()));
+        if (isInSlowdown(now)) {
+            return Math.min(USUAL_WAIT_MILLISECONDS, usualMilliseconds * (last - baseline()));
         }
         return usualMilliseconds * Math.max(0, last - Math.max(1, expectedSlowness));
     }
 
     /** Whether the VM is slow now and is expected to be faster in a moment. */
-    public boolean isSlow(long now) {
+    public boolean isInSlowdown(long now) {
         return slow && now - slowSince < LONGEST_MOMENT_MILLISECONDS;
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/retry/DeadlineBudget.java
+++ b/core/src/main/java/org/damaskmoor/core/retry/DeadlineBudget.java
@@ -42,7 +42,7 @@
     }
 
     /** Whether too little is left to be sent on. */
-    public boolean spent() {
+    public boolean isExhausted() {
         return toMilliseconds() == 0;
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/retry/FleetRetryBudget.java
+++ b/core/src/main/java/org/damaskmoor/core/retry/FleetRetryBudget.java
@@ -44,7 +44,7 @@
      *
      * @param nodes nodes that share the budget
      */
-    public boolean tryTake(int nodes, long now) {
+    public boolean tryAcquire(int nodes, long now) {
         forget(requests, now);
         forget(attempts, now);
         double allowed = SPENT_PART * (ratio * requests.size() + slack / Math.max(1, nodes));
--- a/core/src/main/java/org/damaskmoor/core/retry/HedgePolicy.java
+++ b/core/src/main/java/org/damaskmoor/core/retry/HedgePolicy.java
@@ -76,7 +76,7 @@
 
     /** Takes the hedge out of the budget. False: it must not be sent. */
     public boolean tryHedge(long nowNanoseconds) {
-        return budget.tryTakeForHedge(nowNanoseconds);
+        return budget.tryAcquireForHedge(nowNanoseconds);
     }
 
     private void rotate(long now) {
--- a/core/src/main/java/org/damaskmoor/core/retry/RetryBudget.java
+++ b/core/src/main/java/org/damaskmoor/core/retry/RetryBudget.java
@@ -59,7 +59,7 @@
     }
 
     /** Takes one further attempt out of the budget. False: it must not be sent. */
-    public boolean tryTake(long nowNanoseconds) {
+    public boolean tryAcquire(long nowNanoseconds) {
         fill(nowNanoseconds);
         if (tokens < 1 - ROUNDING) {
             return false;
@@ -72,12 +72,12 @@
      * Takes a hedge out of the budget. Hedges leave half of the burst to retries: a hedge only
      * makes an answer faster, and a retry saves a request from being refused.
      */
-    boolean tryTakeForHedge(long nowNanoseconds) {
+    boolean tryAcquireForHedge(long nowNanoseconds) {
         fill(nowNanoseconds);
         if (tokens - 1 < SHARE_KEPT_FROM_HEDGES * burstTokens - ROUNDING) {
             return false;
         }
-        return tryTake(nowNanoseconds);
+        return tryAcquire(nowNanoseconds);
     }
 
     private void fill(long now) {
--- a/core/src/main/java/org/damaskmoor/core/retry/RetryRules.java
+++ b/core/src/main/java/org/damaskmoor/core/retry/RetryRules.java
@@ -17,9 +17,9 @@
     private RetryRules() {}
 
     /** Whether a request that a target refused as "not run" may be tried elsewhere. */
-    public static boolean afterRefusal(
+    public static boolean canRetryAfterRefusal(
             RefusalReason reason, boolean refusedBelow, int attempts, DeadlineBudget deadline) {
-        if (refusedBelow || attempts >= MOST_ATTEMPTS || deadline.spent()) {
+        if (refusedBelow || attempts >= MOST_ATTEMPTS || deadline.isExhausted()) {
             return false;
         }
         return switch (reason) {
@@ -38,16 +38,16 @@
     }
 
     /** Whether a request that may have run may be sent again. */
-    public static boolean afterFailure(
+    public static boolean canRetryAfterFailure(
             boolean nonIdempotent, int attempts, DeadlineBudget deadline) {
-        return !nonIdempotent && attempts < MOST_ATTEMPTS && !deadline.spent();
+        return !nonIdempotent && attempts < MOST_ATTEMPTS && !deadline.isExhausted();
     }
 
     /**
      * Whether the attempt after this refusal is free of the budget: a planned stop or a replaced
      * node bounces each request at most once, and must not use up what faults need.
      */
-    public static boolean free(RefusalReason reason) {
+    public static boolean isExemptFromBudget(RefusalReason reason) {
         return reason == RefusalReason.DRAINING || reason == RefusalReason.STALE_INCARNATION;
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/routes/package-info.java
+++ /dev/null
@@ -1,6 +0,0 @@
-/**
- * Which route a request takes: hosts, path prefixes, and the services behind them.
- *
- * <p>Start at {@link org.damaskmoor.core.routes.RouteTable}.
- */
-package org.damaskmoor.core.routes;
--- a/core/src/main/java/org/damaskmoor/core/routes/CallerLimits.java
+++ b/core/src/main/java/org/damaskmoor/core/routetable/CallerLimits.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.routes;
+package org.damaskmoor.core.routetable;
 
 /**
  * Bounds on what a caller may send and how long it may take. Immutable and thread-safe.
--- a/core/src/main/java/org/damaskmoor/core/routes/Route.java
+++ b/core/src/main/java/org/damaskmoor/core/routetable/Route.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.routes;
+package org.damaskmoor.core.routetable;
 
 import java.util.List;
 import java.util.Objects;
@@ -28,7 +28,7 @@
         long timeoutMilliseconds,
         long objectiveMilliseconds,
         int priority,
-        List<RoutePart> parts,
+        List<WeightedService> parts,
         int maximumAttempts) {
     public Route {
         Objects.requireNonNull(name, "name");
--- a/core/src/main/java/org/damaskmoor/core/routes/RouteTable.java
+++ b/core/src/main/java/org/damaskmoor/core/routetable/RouteTable.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.routes;
+package org.damaskmoor.core.routetable;
 
 import java.util.Collection;
 import java.util.HashMap;
@@ -20,7 +20,7 @@
 public final class RouteTable {
     private final long version;
     private final Map<String, Map<String, Route>> prefixesByHost = new HashMap<>();
-    private final Map<ServiceName, ServiceEntry> services = new HashMap<>();
+    private final Map<ServiceName, ServiceDefinition> services = new HashMap<>();
     private final List<Route> routes;
     private final CallerLimits limits;
 
@@ -33,7 +33,7 @@
     public RouteTable(
             long version,
             Collection<Route> routes,
-            Collection<ServiceEntry> services,
+            Collection<ServiceDefinition> services,
             CallerLimits limits) {
         this.version = version;
         this.limits = limits;
@@ -43,7 +43,7 @@
     }
 
     private void add(Route route) {
-        for (RoutePart part : route.parts()) {
+        for (WeightedService part : route.parts()) {
             if (!services.containsKey(part.service())) {
                 throw new IllegalArgumentException(
                         "Route "
@@ -79,7 +79,7 @@
     }
 
     /** A configured service, or empty. */
-    public Optional<ServiceEntry> service(ServiceName name) {
+    public Optional<ServiceDefinition> service(ServiceName name) {
         return Optional.ofNullable(services.get(name));
     }
 
--- a/core/src/main/java/org/damaskmoor/core/routes/ServiceEntry.java
+++ b/core/src/main/java/org/damaskmoor/core/routetable/ServiceDefinition.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.routes;
+package org.damaskmoor.core.routetable;
 
 import java.util.Objects;
 import org.damaskmoor.core.id.ServiceName;
@@ -10,8 +10,8 @@
  * @param healthPath path of the health check; empty when there is none
  * @param maximumConnections most connections that an upstream accepts from all callers together
  */
-public record ServiceEntry(ServiceName name, String healthPath, int maximumConnections) {
-    public ServiceEntry {
+public record ServiceDefinition(ServiceName name, String healthPath, int maximumConnections) {
+    public ServiceDefinition {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(healthPath, "healthPath");
     }
--- a/core/src/main/java/org/damaskmoor/core/routes/WeightedTurns.java
+++ b/core/src/main/java/org/damaskmoor/core/routetable/SmoothWeightedRoundRobin.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.routes;
+package org.damaskmoor.core.routetable;
 
 import java.util.List;
 import org.damaskmoor.core.id.ServiceName;
@@ -10,8 +10,8 @@
  * <p>Smooth weighted round robin: each part gains its weight at each turn, the richest part is
  * taken and pays the sum of all weights. Not thread-safe.
  */
-public final class WeightedTurns {
-    private final List<RoutePart> parts;
+public final class SmoothWeightedRoundRobin {
+    private final List<WeightedService> parts;
     private final long[] credit;
     private long sum;
 
@@ -21,10 +21,10 @@
      *
      * @param firstTurn any number that differs between nodes
      */
-    public WeightedTurns(List<RoutePart> parts, int firstTurn) {
+    public SmoothWeightedRoundRobin(List<WeightedService> parts, int firstTurn) {
         this.parts = List.copyOf(parts);
         this.credit = new long[parts.size()];
-        for (RoutePart part : parts) {
+        for (WeightedService part : parts) {
             sum += part.weight();
         }
         if (sum > 0 && parts.size() > 1) {
@@ -35,7 +35,7 @@
     }
 
     /** The parts that are divided between. */
-    public List<RoutePart> parts() {
+    public List<WeightedService> parts() {
         return parts;
     }
 
--- a/core/src/main/java/org/damaskmoor/core/routes/RoutePart.java
+++ b/core/src/main/java/org/damaskmoor/core/routetable/WeightedService.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.routes;
+package org.damaskmoor.core.routetable;
 
 import java.util.Objects;
 import org.damaskmoor.core.id.ServiceName;
@@ -9,8 +9,8 @@
  * @param service the service
  * @param weight its share of the requests, relative to the other parts; 0 for none
  */
-public record RoutePart(ServiceName service, int weight) {
-    public RoutePart {
+public record WeightedService(ServiceName service, int weight) {
+    public WeightedService {
         Objects.requireNonNull(service, "service");
         if (weight < 0) {
             throw new IllegalArgumentException(
--- /dev/null
+++ b/core/src/main/java/org/damaskmoor/core/routetable/package-info.java
@@ -0,0 +1,6 @@
+/**
+ * Which route a request takes: hosts, path prefixes, and the services behind them.
+ *
+ * <p>Start at {@link org.damaskmoor.core.routetable.RouteTable}.
+ */
+package org.damaskmoor.core.routetable;
--- a/core/src/main/java/org/damaskmoor/core/routing/CandidateWeight.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/CandidateEstimate.java
@@ -10,7 +10,7 @@
  * @param share part of its normal traffic that it is allowed, from 0 to 1
  * @param available whether it may be chosen
  */
-public record CandidateWeight(
+public record CandidateEstimate(
         Target target,
         Distance distance,
         long expectedNanoseconds,
--- a/core/src/main/java/org/damaskmoor/core/routing/ChoicePolicies.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/ChoicePolicies.java
@@ -31,7 +31,7 @@
     }
 
     /** Baseline: the one of two candidates with fewer own requests in flight. */
-    public static ChoicePolicy twoChoices() {
+    public static ChoicePolicy powerOfTwoChoices() {
         return (candidates, now) -> leastOwn(candidates, TWO);
     }
 
--- a/core/src/main/java/org/damaskmoor/core/routing/Router.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/Router.java
@@ -44,7 +44,7 @@
     void updateTargets(Collection<Target> targets, long nowNanoseconds);
 
     /** The target for the next attempt; empty when no target may take it. */
-    Optional<Choice> choose(RequestView request, Set<NodeId> excluded, long nowNanoseconds);
+    Optional<Choice> choose(RoutingRequest request, Set<NodeId> excluded, long nowNanoseconds);
 
     /**
      * The target for a request with an idempotency key. The same key goes to the same target as
@@ -76,17 +76,17 @@
     void onAbandoned(TargetId target, long waitedNanoseconds, long nowNanoseconds);
 
     /** A load report came by other means than an answer, for example a probe. */
-    void onLoadHeard(TargetId target, LoadReport load, long nowNanoseconds);
+    void onLoadReport(TargetId target, LoadReport load, long nowNanoseconds);
 
     /** The summary of another region came over the paid link. */
-    void onSummaryHeard(RegionSummary summary, long nowNanoseconds);
+    void onRegionSummary(RegionSummary summary, long nowNanoseconds);
 
     /** No connection could be opened. Ends no attempt: call {@code onFailed} too after a send. */
     void onUnreachable(TargetId target, long nowNanoseconds);
 
     /** How each target would be weighed now, for operators. */
-    List<CandidateWeight> explain(long nowNanoseconds);
+    List<CandidateEstimate> explain(long nowNanoseconds);
 
     /** Whether the paid link is in use because the own region has no headroom left. */
-    boolean regionHeadroomGone();
+    boolean isRegionHeadroomExhausted();
 }
--- a/core/src/main/java/org/damaskmoor/core/routing/RequestView.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/RoutingRequest.java
@@ -6,4 +6,4 @@
  * @param nonIdempotent whether it may run at most once
  * @param remainingNanoseconds time left until its deadline
  */
-public record RequestView(boolean nonIdempotent, long remainingNanoseconds) {}
+public record RoutingRequest(boolean nonIdempotent, long remainingNanoseconds) {}
--- a/core/src/main/java/org/damaskmoor/core/routing/internal/CandidateSampler.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/internal/CandidateSampler.java
@@ -118,7 +118,7 @@
         if (lastResort) {
             return state.takesNewWork();
         }
-        if (!state.available(nowNanoseconds)) {
+        if (!state.isAvailable(nowNanoseconds)) {
             return false;
         }
         double share = state.share(nowNanoseconds);
--- a/core/src/main/java/org/damaskmoor/core/routing/internal/Reachability.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/internal/ConnectBackoff.java
@@ -6,19 +6,19 @@
  * Keeps attempts away from a target to which no connection could be opened, for a time that doubles
  * with each further try in vain. Not thread-safe.
  */
-final class Reachability {
+final class ConnectBackoff {
     private static final long FIRST_PAUSE_NANOSECONDS = TimeUnit.MILLISECONDS.toNanos(200);
     private static final long LONGEST_PAUSE_NANOSECONDS = TimeUnit.SECONDS.toNanos(10);
 
     private long pauseNanoseconds;
     private long pausedAtNanoseconds;
 
-    boolean reachable(long now) {
+    boolean isReachable(long now) {
         return pauseNanoseconds == 0 || now - pausedAtNanoseconds >= pauseNanoseconds;
     }
 
-    void unreachable(long now) {
-        if (!reachable(now)) {
+    void onConnectFailed(long now) {
+        if (!isReachable(now)) {
             return;
         }
         pauseNanoseconds =
@@ -28,7 +28,7 @@
         pausedAtNanoseconds = now;
     }
 
-    void heard() {
+    void reset() {
         pauseNanoseconds = 0;
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/routing/internal/RecentRate.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/internal/DecayingRate.java
@@ -7,7 +7,7 @@
  *
  * <p>Invariant: between 0 and 1. Not thread-safe.
  */
-final class RecentRate {
+final class DecayingRate {
     private static final double NEWS_WEIGHT = 0.2;
     private static final double HALF_LIFE_NANOSECONDS = TimeUnit.SECONDS.toNanos(1);
     private static final double NEGLIGIBLE = 0.001;
--- a/core/src/main/java/org/damaskmoor/core/routing/internal/RegionPrior.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/internal/RegionAverages.java
@@ -9,7 +9,7 @@
  * <p>Falling back to the mean, not to zero, keeps a target from looking idle because nobody has
  * heard of it for a while. Not thread-safe.
  */
-final class RegionPrior {
+final class RegionAverages {
     private static final double NEWS_WEIGHT = 0.05;
     private static final double FIRST_LATENCY_NANOSECONDS = TimeUnit.MILLISECONDS.toNanos(5);
 
@@ -27,7 +27,7 @@
         return latencyNanoseconds;
     }
 
-    void learn(double occupancy, double latency) {
+    void addSample(double occupancy, double latency) {
         occupancyOfOthers += NEWS_WEIGHT * (occupancy - occupancyOfOthers);
         if (latency <= 0) {
             return;
--- a/core/src/main/java/org/damaskmoor/core/routing/internal/RegionHeadroom.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/internal/RegionHeadroom.java
@@ -17,7 +17,7 @@
     private boolean computed;
     private long computedAtNanoseconds;
 
-    boolean gone() {
+    boolean isExhausted() {
         return gone;
     }
 
@@ -42,7 +42,7 @@
         double limit = 0;
         for (int i = 0; i < count; i++) {
             TargetState target = region[i];
-            if (target.available(now)) {
+            if (target.isAvailable(now)) {
                 load += target.expectedLoad(now);
                 limit += target.limit(now) * target.share(now);
             }
--- a/core/src/main/java/org/damaskmoor/core/routing/internal/KeyPlacement.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/internal/RendezvousHashing.java
@@ -10,22 +10,22 @@
  *
  * <p>Stateless and thread-safe.
  */
-final class KeyPlacement {
-    private KeyPlacement() {}
+final class RendezvousHashing {
+    private RendezvousHashing() {}
 
     /** The target for the key, or null when none takes new work. */
-    static TargetState place(TargetState[] targets, long keyHash, Set<NodeId> excluded) {
+    static TargetState select(TargetState[] targets, long keyHash, Set<NodeId> excluded) {
         TargetState best = null;
         for (TargetState target : targets) {
             if (target.takesNewWork() && !excluded.contains(target.target().id().node())) {
-                best = better(best, target, keyHash);
+                best = higherRanked(best, target, keyHash);
             }
         }
         return best;
     }
 
     /** The one of two targets, either of which may be null, at which the key has its place. */
-    static TargetState better(TargetState first, TargetState second, long keyHash) {
+    static TargetState higherRanked(TargetState first, TargetState second, long keyHash) {
         if (first == null || second == null) {
             return first == null ? second : first;
         }
@@ -33,8 +33,8 @@
     }
 
     private static boolean goesBefore(TargetState target, TargetState other, long keyHash) {
-        long rank = StableHash.combine(keyHash, target.hash());
-        long otherRank = StableHash.combine(keyHash, other.hash());
+        long rank = StableHash.combine(keyHash, target.nodeHash());
+        long otherRank = StableHash.combine(keyHash, other.nodeHash());
         if (rank != otherRank) {
             return Long.compareUnsigned(rank, otherRank) > 0;
         }
--- a/core/src/main/java/org/damaskmoor/core/routing/internal/HeardLoad.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/internal/ReportedLoad.java
@@ -8,7 +8,7 @@
  *
  * <p>Invariant: the limit is at least 1. Not thread-safe.
  */
-final class HeardLoad {
+final class ReportedLoad {
     /** Age at which half of the heard load counts. */
     private static final double LOAD_HALF_AGE_NANOSECONDS = TimeUnit.MILLISECONDS.toNanos(50);
 
@@ -23,7 +23,7 @@
 
     private static final double NANOSECONDS_PER_MICROSECOND = 1000;
 
-    private final RegionPrior prior;
+    private final RegionAverages prior;
     private final int capacity;
     private int limit;
     private double loadOfOthers;
@@ -32,14 +32,14 @@
     private long heardAtNanoseconds;
     private boolean heard;
 
-    HeardLoad(RegionPrior prior, int capacity) {
+    ReportedLoad(RegionAverages prior, int capacity) {
         this.prior = prior;
         this.capacity = capacity;
         this.limit = capacity;
     }
 
     /** Takes over a report; one without a limit is empty and says nothing. */
-    void hear(LoadReport report, int ownInFlight, long now) {
+    void onReport(LoadReport report, int ownInFlight, long now) {
         if (report.getLimit() == 0) {
             return;
         }
@@ -49,7 +49,7 @@
         failureRate = report.getFailuresPerThousand() / 1000.0;
         heardAtNanoseconds = now;
         heard = true;
-        prior.learn(loadOfOthers / report.getLimit(), latencyNanoseconds);
+        prior.addSample(loadOfOthers / report.getLimit(), latencyNanoseconds);
     }
 
     double limit(long now) {
