--- a/core/src/main/java/org/damaskmoor/core/routing/internal/ServiceRouter.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/internal/ServiceRouter.java
@@ -16,14 +16,14 @@
 import org.damaskmoor.core.id.TargetId;
 import org.damaskmoor.core.load.RegionSummary;
 import org.damaskmoor.core.routing.Candidate;
-import org.damaskmoor.core.routing.CandidateWeight;
+import org.damaskmoor.core.routing.CandidateEstimate;
 import org.damaskmoor.core.routing.Choice;
 import org.damaskmoor.core.routing.ChoicePolicy;
 import org.damaskmoor.core.routing.Distance;
 import org.damaskmoor.core.routing.KeyScope;
-import org.damaskmoor.core.routing.RequestView;
 import org.damaskmoor.core.routing.Router;
 import org.damaskmoor.core.routing.RoutingOptions;
+import org.damaskmoor.core.routing.RoutingRequest;
 import org.damaskmoor.core.routing.Target;
 import org.damaskmoor.schema.mesh.LoadReport;
 import org.damaskmoor.schema.mesh.RefusalReason;
@@ -47,7 +47,7 @@
     private final ChoicePolicy policy;
     private final CandidateSampler sampler;
     private final RegionHeadroom headroom = new RegionHeadroom();
-    private final Map<RegionName, RegionPrior> priors = new HashMap<>();
+    private final Map<RegionName, RegionAverages> priors = new HashMap<>();
     private Map<TargetId, TargetState> states = new HashMap<>();
     private boolean targetsKnown;
     private long firstKnownAtNanoseconds;
@@ -87,11 +87,11 @@
     }
 
     @Override
-    public Optional<Choice> choose(RequestView request, Set<NodeId> excluded, long now) {
+    public Optional<Choice> choose(RoutingRequest request, Set<NodeId> excluded, long now) {
         headroom.refresh(sampler.region(), sampler.region().length, now);
         boolean remoteInTime =
                 request.remainingNanoseconds() > Distance.REMOTE.roundTripNanoseconds();
-        sampler.start(excluded, headroom.gone(), remoteInTime, now);
+        sampler.start(excluded, headroom.isExhausted(), remoteInTime, now);
         Candidate chosen = policy.choose(sampler, now);
         if (chosen == null) {
             sampler.startLastResort();
@@ -104,10 +104,10 @@
     public Optional<Choice> chooseForKey(
             String key, KeyScope scope, Set<NodeId> excluded, long now) {
         long keyHash = StableHash.of(key);
-        TargetState chosen = KeyPlacement.place(sampler.region(), keyHash, excluded);
+        TargetState chosen = RendezvousHashing.select(sampler.region(), keyHash, excluded);
         if (chosen == null || scope == KeyScope.ALL_REGIONS) {
-            TargetState remote = KeyPlacement.place(sampler.remote(), keyHash, excluded);
-            chosen = KeyPlacement.better(chosen, remote, keyHash);
+            TargetState remote = RendezvousHashing.select(sampler.remote(), keyHash, excluded);
+            chosen = RendezvousHashing.higherRanked(chosen, remote, keyHash);
         }
         return chosen == null ? Optional.empty() : Optional.of(taken(chosen, now));
     }
@@ -116,7 +116,7 @@
     public void onSent(TargetId target, long now) {
         TargetState state = states.get(target);
         if (state != null) {
-            state.sent(now);
+            state.onSent(now);
         }
     }
 
@@ -124,9 +124,9 @@
     public void onAnswered(TargetId target, long latency, LoadReport load, long now) {
         TargetState state = states.get(target);
         if (state != null) {
-            state.ended(latency, now);
-            state.succeeded(now);
-            state.hear(load, now);
+            state.onEnded(latency, now);
+            state.onSuccess(now);
+            state.onLoadReport(load, now);
         }
     }
 
@@ -137,16 +137,16 @@
         if (state == null) {
             return;
         }
-        state.ended(waited, now);
+        state.onEnded(waited, now);
         switch (reason) {
-            case DRAINING, STALE_INCARNATION -> state.leaves();
-            case TARGET_UNREACHABLE -> state.unreachable(now);
+            case DRAINING, STALE_INCARNATION -> state.markLeaving();
+            case TARGET_UNREACHABLE -> state.onConnectFailed(now);
             case UPSTREAM_UNREACHABLE -> failed(state, now);
             case QUEUE_FULL, OVERLOADED, NODE_BUSY, DEADLINE_TOO_SHORT -> {
-                state.refused(now);
-                state.hear(load, now);
+                state.onRefusal(now);
+                state.onLoadReport(load, now);
             }
-            default -> state.hear(load, now);
+            default -> state.onLoadReport(load, now);
         }
     }
 
@@ -154,7 +154,7 @@
     public void onFailed(TargetId target, long waited, long now) {
         TargetState state = states.get(target);
         if (state != null) {
-            state.ended(waited, now);
+            state.onEnded(waited, now);
             failed(state, now);
         }
     }
@@ -163,20 +163,20 @@
     public void onAbandoned(TargetId target, long waited, long now) {
         TargetState state = states.get(target);
         if (state != null) {
-            state.ended(waited, now);
+            state.onEnded(waited, now);
         }
     }
 
     @Override
-    public void onLoadHeard(TargetId target, LoadReport load, long now) {
+    public void onLoadReport(TargetId target, LoadReport load, long now) {
         TargetState state = states.get(target);
         if (state != null) {
-            state.hear(load, now);
+            state.onLoadReport(load, now);
         }
     }
 
     @Override
-    public void onSummaryHeard(RegionSummary summary, long now) {
+    public void onRegionSummary(RegionSummary summary, long now) {
         if (!summary.region().equals(region)) {
             double latency = TimeUnit.MICROSECONDS.toNanos(summary.latencyMicroseconds());
             priorOf(summary.region()).replace(summary.occupancy(), latency);
@@ -187,34 +187,34 @@
     public void onUnreachable(TargetId target, long now) {
         TargetState state = states.get(target);
         if (state != null) {
-            state.unreachable(now);
+            state.onConnectFailed(now);
         }
     }
 
     @Override
-    public List<CandidateWeight> explain(long now) {
-        List<CandidateWeight> weights = new ArrayList<>();
+    public List<CandidateEstimate> explain(long now) {
+        List<CandidateEstimate> weights = new ArrayList<>();
         for (TargetState state : states.values()) {
             weights.add(
-                    new CandidateWeight(
+                    new CandidateEstimate(
                             state.target(),
                             state.distance(),
                             (long) state.expectedNanoseconds(now),
                             state.expectedLoad(now),
                             state.share(now),
-                            state.available(now)));
+                            state.isAvailable(now)));
         }
         return weights;
     }
 
     @Override
-    public boolean regionHeadroomGone() {
-        return headroom.gone();
+    public boolean isRegionHeadroomExhausted() {
+        return headroom.isExhausted();
     }
 
     private Choice taken(Candidate candidate, long now) {
         TargetState state = (TargetState) candidate;
-        state.chosen(++choices);
+        state.onChosen(++choices);
         long expected = (long) state.expectedNanoseconds(now);
         return new Choice(state.target(), state.distance(), expected);
     }
@@ -237,7 +237,7 @@
                         options.slowStartNanoseconds());
         boolean joining = !targetsKnown || now - firstKnownAtNanoseconds < JOINING_NANOSECONDS;
         if (!joining || hasRestarted(target)) {
-            state.startCold(now);
+            state.startSlowStart(now);
         }
         return state;
     }
@@ -254,12 +254,12 @@
         return target.dataCentre().equals(dataCentre) ? Distance.LOCAL : Distance.REGION;
     }
 
-    private RegionPrior priorOf(RegionName name) {
-        return priors.computeIfAbsent(name, unused -> new RegionPrior());
+    private RegionAverages priorOf(RegionName name) {
+        return priors.computeIfAbsent(name, unused -> new RegionAverages());
     }
 
     private void failed(TargetState state, long now) {
-        state.failed(now);
+        state.onFailure(now);
         if (state.failureRate(now) >= FAILING_FROM_RATE) {
             state.eject(allowance(now), now);
         }
--- a/core/src/main/java/org/damaskmoor/core/routing/internal/TargetState.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/internal/TargetState.java
@@ -28,13 +28,13 @@
     /** The part of its limit that counts right after a cold start. */
     private static final double LEAST_SLOW_START_SHARE = 0.1;
 
-    private final RegionPrior prior;
+    private final RegionAverages prior;
     private final Distance distance;
-    private final HeardLoad heard;
-    private final RecentRate failures = new RecentRate();
-    private final RecentRate refusals = new RecentRate();
-    private final EjectedShare ejected = new EjectedShare();
-    private final Reachability reachability = new Reachability();
+    private final ReportedLoad heard;
+    private final DecayingRate failures = new DecayingRate();
+    private final DecayingRate refusals = new DecayingRate();
+    private final TrafficShare ejected = new TrafficShare();
+    private final ConnectBackoff reachability = new ConnectBackoff();
     private final long slowStartNanoseconds;
     private final long hash;
 
@@ -46,12 +46,12 @@
     private long sumOfSentNanoseconds;
     private long lastChoice;
 
-    TargetState(Target target, Distance distance, RegionPrior prior, long slowStartNanoseconds) {
+    TargetState(Target target, Distance distance, RegionAverages prior, long slowStartNanoseconds) {
         this.target = target;
         this.distance = distance;
         this.prior = prior;
         this.slowStartNanoseconds = slowStartNanoseconds;
-        this.heard = new HeardLoad(prior, target.capacity());
+        this.heard = new ReportedLoad(prior, target.capacity());
         this.hash = StableHash.of(target.id().node().value());
     }
 
@@ -93,7 +93,7 @@
     }
 
     /** The hash of the node's name, by which keys are placed. */
-    long hash() {
+    long nodeHash() {
         return hash;
     }
 
@@ -105,8 +105,8 @@
         return !leaving && target.takesNewWork();
     }
 
-    boolean available(long now) {
-        return takesNewWork() && reachability.reachable(now);
+    boolean isAvailable(long now) {
+        return takesNewWork() && reachability.isReachable(now);
     }
 
     /** Part of its normal traffic that ejection leaves it. */
@@ -132,25 +132,25 @@
         }
         target = newer;
         if ((returned || warmed) && !leaving) {
-            startCold(now);
+            startSlowStart(now);
         }
     }
 
-    void startCold(long now) {
+    void startSlowStart(long now) {
         cold = true;
         servingSinceNanoseconds = now;
     }
 
-    void chosen(long choice) {
+    void onChosen(long choice) {
         lastChoice = choice;
     }
 
-    void sent(long now) {
+    void onSent(long now) {
         ownInFlight++;
         sumOfSentNanoseconds += now;
     }
 
-    void ended(long waited, long now) {
+    void onEnded(long waited, long now) {
         if (ownInFlight == 0) {
             return;
         }
@@ -158,39 +158,39 @@
         sumOfSentNanoseconds = ownInFlight == 0 ? 0 : sumOfSentNanoseconds - (now - waited);
     }
 
-    void succeeded(long now) {
+    void onSuccess(long now) {
         failures.add(false, now);
         refusals.add(false, now);
-        ejected.succeeded(now);
-        reachability.heard();
+        ejected.onSuccess(now);
+        reachability.reset();
     }
 
-    void failed(long now) {
+    void onFailure(long now) {
         failures.add(true, now);
     }
 
     /** Refused for want of capacity. */
-    void refused(long now) {
+    void onRefusal(long now) {
         refusals.add(true, now);
     }
 
-    void hear(LoadReport report, long now) {
-        reachability.heard();
-        heard.hear(report, ownInFlight, now);
+    void onLoadReport(LoadReport report, long now) {
+        reachability.reset();
+        heard.onReport(report, ownInFlight, now);
         if (report.getState() == UpstreamState.LEAVING) {
             leaving = true;
         } else if (leaving && report.getState() == UpstreamState.SERVING) {
             leaving = false;
-            startCold(now);
+            startSlowStart(now);
         }
     }
 
-    void leaves() {
+    void markLeaving() {
         leaving = true;
     }
 
-    void unreachable(long now) {
-        reachability.unreachable(now);
+    void onConnectFailed(long now) {
+        reachability.onConnectFailed(now);
     }
 
     private double slowStartShare(long now) {
--- a/core/src/main/java/org/damaskmoor/core/routing/internal/EjectedShare.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/internal/TrafficShare.java
@@ -8,7 +8,7 @@
  *
  * <p>Invariant: between {@link #LEAST} and 1. Not thread-safe.
  */
-final class EjectedShare {
+final class TrafficShare {
     /** Enough to notice that a target works again. */
     static final double LEAST = 1.0 / 64;
 
@@ -33,7 +33,7 @@
         set(Math.min(current, Math.max(wanted, current - Math.max(0, allowance))), now);
     }
 
-    void succeeded(long now) {
+    void onSuccess(long now) {
         if (share < 1) {
             set(Math.min(1, at(now) * GROWTH_PER_SUCCESS), now);
         }
--- a/core/src/main/java/org/damaskmoor/core/upstream/UpstreamRegister.java
+++ b/core/src/main/java/org/damaskmoor/core/upstream/UpstreamTracker.java
@@ -13,7 +13,7 @@
  * it leaves never takes new calls again. Times are in milliseconds of one monotonic clock. Not
  * thread-safe.
  */
-public final class UpstreamRegister {
+public final class UpstreamTracker {
     /** Former incarnations whose late announcements are recognised. */
     private static final int REMEMBERED_INCARNATIONS = 16;
 
@@ -32,7 +32,7 @@
      *
      * @param drainMilliseconds how long after its word a leaving upstream may get calls
      */
-    public UpstreamRegister(long drainMilliseconds) {
+    public UpstreamTracker(long drainMilliseconds) {
         this.drainMilliseconds = drainMilliseconds;
     }
 
@@ -47,7 +47,7 @@
     }
 
     /** The upstream announced itself. */
-    public Change announce(UpstreamAnnouncement news, long now) {
+    public Change onAnnouncement(UpstreamAnnouncement news, long now) {
         if (hasLeft(news) || (current != null && !news.isNewerThan(current))) {
             return Change.NONE;
         }
@@ -69,7 +69,7 @@
      *
      * @param born start of the incarnation that goes, when it was told
      */
-    public Change leave(UpstreamId id, OptionalLong born, long now) {
+    public Change onLeave(UpstreamId id, OptionalLong born, long now) {
         boolean present =
                 current != null
                         && current.id().equals(id)
@@ -96,12 +96,12 @@
     }
 
     /** Its address does not answer, or another upstream answers there. */
-    public void down() {
+    public void markDown() {
         down = true;
     }
 
     /** It was reached. */
-    public void up() {
+    public void markUp() {
         down = false;
     }
 
@@ -121,12 +121,12 @@
     }
 
     /** Whether new calls are taken for it. */
-    public boolean takesCalls() {
+    public boolean acceptsCalls() {
         return current != null && !leaving && !down;
     }
 
     /** Whether a call that was taken earlier may still be handed over. */
-    public boolean mayRun(long now) {
+    public boolean mayDispatch(long now) {
         boolean inTime = now < leavingSince + drainMilliseconds - DRAIN_MARGIN_MILLISECONDS;
         return current != null && (!leaving || inTime);
     }
--- a/core/src/test/java/org/damaskmoor/core/accounting/AccountingScheduleTest.java
+++ b/core/src/test/java/org/damaskmoor/core/accounting/AccountingSimulationTest.java
@@ -30,7 +30,7 @@
  * Drives writer, buddies, flusher and reconciler through random losses, duplicates, false and true
  * deaths and store failures, and compares with a plain count of the answered refusals.
  */
-class AccountingScheduleTest {
+class AccountingSimulationTest {
     private static final long MILLISECOND = 1_000_000;
     private static final int STEPS = 3_000;
     private static final int MINUTE_STEPS = 400;
@@ -44,13 +44,13 @@
         final NodeId owner = new NodeId("owner");
         final Map<String, ByteString> store = new TreeMap<>();
         final List<Runnable> network = new ArrayList<>();
-        final Map<NodeId, RefusalBuddy> buddies = new TreeMap<>();
+        final Map<NodeId, RefusalReplica> buddies = new TreeMap<>();
         final Map<NodeId, ObjectWriteQueue> buddyQueues = new TreeMap<>();
         final Map<Answered, Long> stored = new HashMap<>();
         final List<CompletableFuture<Void>> answers = new ArrayList<>();
         final Map<Answered, Long> recorded = new HashMap<>();
         final Map<Answered, Long> all = new HashMap<>();
-        final RefusalWriter writer;
+        final RefusalReplicator writer;
         final RefusalFlusher flusher;
         final Incarnation incarnation = new Incarnation(7);
         long now;
@@ -62,22 +62,22 @@
         World(long seed) {
             random = new SplittableRandom(seed);
             for (String name : List.of("buddy-a", "buddy-b", "buddy-c")) {
-                buddies.put(new NodeId(name), new RefusalBuddy(500, 200));
+                buddies.put(new NodeId(name), new RefusalReplica(500, 200));
                 buddyQueues.put(
                         new NodeId(name), new ObjectWriteQueue(10 * MILLISECOND, random.split()));
             }
             writer =
-                    new RefusalWriter(
+                    new RefusalReplicator(
                             owner,
                             incarnation,
-                            RefusalWriterLimits.defaults(),
+                            RefusalReplicatorLimits.defaults(),
                             () -> List.copyOf(buddies.keySet()),
                             this::send,
                             random.split());
             flusher =
                     new RefusalFlusher(
                             writer,
-                            new RefusalBuddy(1, 1),
+                            new RefusalReplica(1, 1),
                             new ObjectWriteQueue(10 * MILLISECOND, random.split()),
                             200 * MILLISECOND,
                             random.split(),
@@ -101,7 +101,7 @@
         }
 
         void receive(NodeId peer, RefusalBatch batch) {
-            RefusalBuddy buddy = buddies.get(peer);
+            RefusalReplica buddy = buddies.get(peer);
             if (buddy == null) {
                 return;
             }
@@ -183,7 +183,7 @@
             buddies.forEach(
                     (name, buddy) -> {
                         ObjectWriteQueue queue = buddyQueues.get(name);
-                        buddy.takeAbandoned()
+                        buddy.takeOrphaned()
                                 .forEach(
                                         group ->
                                                 queue.add(
@@ -238,7 +238,7 @@
             if (world.random.nextInt(100) == 0) {
                 world.buddies
                         .values()
-                        .forEach(buddy -> buddy.onOwnerGone(world.owner, world.incarnation));
+                        .forEach(buddy -> buddy.onOwnerDown(world.owner, world.incarnation));
             }
         }
         stopAsPlanned(world);
@@ -264,7 +264,7 @@
         // when
         world.ownerDead = true;
         world.networkDown = false;
-        world.buddies.values().forEach(buddy -> buddy.onOwnerGone(world.owner, world.incarnation));
+        world.buddies.values().forEach(buddy -> buddy.onOwnerDown(world.owner, world.incarnation));
         world.settle();
 
         // then: nothing stored is missing, and nothing counts twice
--- a/core/src/test/java/org/damaskmoor/core/accounting/RefusalBuddyTest.java
+++ b/core/src/test/java/org/damaskmoor/core/accounting/RefusalReplicaTest.java
@@ -11,11 +11,11 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 import org.junit.jupiter.api.Test;
 
-class RefusalBuddyTest {
+class RefusalReplicaTest {
     private static final NodeId OWNER = new NodeId("owner");
     private static final Incarnation INCARNATION = new Incarnation(7);
 
-    private final RefusalBuddy buddy = new RefusalBuddy(3, 3);
+    private final RefusalReplica buddy = new RefusalReplica(3, 3);
 
     @Test
     void should_hand_out_what_a_killed_owner_did_not_flush() {
@@ -26,15 +26,15 @@
         buddy.onBatch(batch(7, 2, 3, "a"));
 
         // when
-        buddy.onOwnerGone(OWNER, INCARNATION);
-        List<RefusalGroup> abandoned = buddy.takeAbandoned();
+        buddy.onOwnerDown(OWNER, INCARNATION);
+        List<RefusalGroup> abandoned = buddy.takeOrphaned();
 
         // then
         assertThat(abandoned).hasSize(1);
         assertThat(abandoned.get(0).first()).isEqualTo(2);
         assertThat(abandoned.get(0).last()).isEqualTo(3);
         assertThat(abandoned.get(0).counts().get(0).getCount()).isEqualTo(2);
-        assertThat(buddy.takeAbandoned()).isEmpty();
+        assertThat(buddy.takeOrphaned()).isEmpty();
         buddy.onFlushed(abandoned.get(0));
         assertThat(buddy.size()).isEqualTo(0);
     }
@@ -48,7 +48,7 @@
         buddy.onBatch(batch(8, 1, 1, "a"));
 
         // then
-        assertThat(buddy.takeAbandoned().stream().map(RefusalGroup::incarnation))
+        assertThat(buddy.takeOrphaned().stream().map(RefusalGroup::incarnation))
                 .containsExactly(INCARNATION);
     }
 
--- a/core/src/test/java/org/damaskmoor/core/accounting/RefusalWriterTest.java
+++ b/core/src/test/java/org/damaskmoor/core/accounting/RefusalReplicatorTest.java
@@ -16,7 +16,7 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 import org.junit.jupiter.api.Test;
 
-class RefusalWriterTest {
+class RefusalReplicatorTest {
     private static final long MILLISECOND = TimeUnit.MILLISECONDS.toNanos(1);
     private static final NodeId FIRST = new NodeId("buddy-a");
     private static final NodeId SECOND = new NodeId("buddy-b");
@@ -27,11 +27,11 @@
     private final List<CompletableFuture<RefusalDurability>> tickets = new ArrayList<>();
     private final List<Sent> sent = new ArrayList<>();
     private final List<NodeId> peers = new ArrayList<>(List.of(FIRST));
-    private final RefusalWriter writer =
-            new RefusalWriter(
+    private final RefusalReplicator writer =
+            new RefusalReplicator(
                     new NodeId("owner"),
                     new Incarnation(7),
-                    RefusalWriterLimits.defaults(),
+                    RefusalReplicatorLimits.defaults(),
                     () -> peers,
                     (peer, batch) -> sent.add(new Sent(peer, batch)),
                     new SplittableRandom(1));
--- a/core/src/test/java/org/damaskmoor/core/admission/AdmissionControllerTest.java
+++ b/core/src/test/java/org/damaskmoor/core/admission/AdmissionControllerTest.java
@@ -17,7 +17,7 @@
     void should_refuse_when_no_upstream_has_announced_itself() {
         // given
         AdmissionFixture fixture = new AdmissionFixture(2, 4);
-        fixture.controller.onUpstream(UpstreamState.ABSENT, 0, 0);
+        fixture.controller.onUpstreamState(UpstreamState.ABSENT, 0, 0);
 
         // then
         assertThat(reason(fixture.offer())).isEqualTo(RefusalReason.UPSTREAM_UNREACHABLE);
@@ -29,8 +29,8 @@
         AdmissionFixture fixture = new AdmissionFixture(1, 1);
 
         // then
-        assertInstanceOf(Offer.Admitted.class, fixture.offer());
-        assertInstanceOf(Offer.Queued.class, fixture.offer());
+        assertInstanceOf(AdmissionDecision.Admitted.class, fixture.offer());
+        assertInstanceOf(AdmissionDecision.Queued.class, fixture.offer());
         assertThat(reason(fixture.offer())).isEqualTo(RefusalReason.QUEUE_FULL);
     }
 
@@ -44,13 +44,13 @@
         fixture.offer();
 
         // when
-        Offer tooShort = fixture.offer(fixture.request(RESIDENTS, 1, 50));
-        Offer longEnough = fixture.offer(fixture.request(RESIDENTS, 1, 100));
+        AdmissionDecision tooShort = fixture.offer(fixture.request(RESIDENTS, 1, 50));
+        AdmissionDecision longEnough = fixture.offer(fixture.request(RESIDENTS, 1, 100));
 
         // then
         assertThat(reason(tooShort)).isEqualTo(RefusalReason.DEADLINE_TOO_SHORT);
         assertThat(refusal(tooShort).retryAfterMilliseconds()).isAtLeast(40);
-        assertInstanceOf(Offer.Queued.class, longEnough);
+        assertInstanceOf(AdmissionDecision.Queued.class, longEnough);
     }
 
     @Test
@@ -61,7 +61,9 @@
         fixture.finishAll();
 
         // then
-        assertInstanceOf(Offer.Admitted.class, fixture.offer(fixture.request(RESIDENTS, 1, 1000)));
+        assertInstanceOf(
+                AdmissionDecision.Admitted.class,
+                fixture.offer(fixture.request(RESIDENTS, 1, 1000)));
     }
 
     @Test
@@ -69,15 +71,16 @@
         // given
         AdmissionFixture fixture = new AdmissionFixture(1, 2);
         fixture.offer();
-        Admission lookup = fixture.request(RESIDENTS, 0, 5000);
+        AdmissionRequest lookup = fixture.request(RESIDENTS, 0, 5000);
         fixture.offer(lookup);
         fixture.offer(fixture.request(RESIDENTS, 1, 5000));
 
         // when
-        Offer booking = fixture.offer(fixture.request(RESIDENTS, 3, 5000));
+        AdmissionDecision booking = fixture.offer(fixture.request(RESIDENTS, 3, 5000));
 
         // then
-        Refusal displaced = assertInstanceOf(Offer.Queued.class, booking).displaced().get(0);
+        Refusal displaced =
+                assertInstanceOf(AdmissionDecision.Queued.class, booking).displaced().get(0);
         assertThat(displaced.id()).isEqualTo(lookup.id());
         assertThat(displaced.reason()).isEqualTo(RefusalReason.OVERLOADED);
     }
@@ -92,15 +95,17 @@
         }
 
         // when
-        Offer first = fixture.offer(fixture.request(RESIDENTS, 1, 5000));
-        Offer crews = fixture.offer(fixture.request(CREWS, 1, 5000));
+        AdmissionDecision first = fixture.offer(fixture.request(RESIDENTS, 1, 5000));
+        AdmissionDecision crews = fixture.offer(fixture.request(CREWS, 1, 5000));
         int residents = 1;
-        while (fixture.offer(fixture.request(RESIDENTS, 1, 5000)) instanceof Offer.Queued) {
+        while (fixture.offer(fixture.request(RESIDENTS, 1, 5000))
+                instanceof AdmissionDecision.Queued) {
             residents++;
         }
 
         // then
-        Refusal displaced = assertInstanceOf(Offer.Queued.class, first).displaced().get(0);
+        Refusal displaced =
+                assertInstanceOf(AdmissionDecision.Queued.class, first).displaced().get(0);
         assertThat(displaced.reason()).isEqualTo(RefusalReason.CALLER_OVER_SHARE);
         assertThat(reason(crews)).isEqualTo(RefusalReason.CALLER_OVER_SHARE);
         assertThat(residents).isAtLeast(15);
@@ -118,12 +123,12 @@
         }
 
         // when
-        Offer lookup = fixture.offer(fixture.request(CREWS, 1, 5000));
-        Offer booking = fixture.offer(fixture.request(CREWS, 3, 5000));
+        AdmissionDecision lookup = fixture.offer(fixture.request(CREWS, 1, 5000));
+        AdmissionDecision booking = fixture.offer(fixture.request(CREWS, 3, 5000));
 
         // then
         assertThat(reason(lookup)).isEqualTo(RefusalReason.CALLER_OVER_SHARE);
-        assertInstanceOf(Offer.Queued.class, booking);
+        assertInstanceOf(AdmissionDecision.Queued.class, booking);
     }
 
     @Test
@@ -131,12 +136,12 @@
         // given
         AdmissionFixture fixture = new AdmissionFixture(1, 10);
         fixture.offer();
-        Admission waiting = fixture.request();
+        AdmissionRequest waiting = fixture.request();
         fixture.offer(waiting);
 
         // when
         fixture.controller.drain();
-        Offer late = fixture.offer();
+        AdmissionDecision late = fixture.offer();
         fixture.finishOne(5, AdmissionOutcome.ANSWERED);
 
         // then
@@ -144,7 +149,7 @@
         assertThat(fixture.next().admitted()).containsExactly(waiting);
         assertThat(report(fixture).getState()).isEqualTo(UpstreamState.LEAVING);
         fixture.finishOne(5, AdmissionOutcome.ANSWERED);
-        assertThat(fixture.controller.idle()).isTrue();
+        assertThat(fixture.controller.isIdle()).isTrue();
     }
 
     @Test
@@ -152,7 +157,7 @@
         // given
         AdmissionFixture fixture = new AdmissionFixture(1, 10);
         fixture.offer();
-        Admission waiting = fixture.request(RESIDENTS, 1, 20);
+        AdmissionRequest waiting = fixture.request(RESIDENTS, 1, 20);
         fixture.offer(waiting);
 
         // when
@@ -253,11 +258,11 @@
         return fixture.controller.loadReport(fixture.now);
     }
 
-    private static Refusal refusal(Offer offer) {
-        return assertInstanceOf(Offer.Refused.class, offer).refusal();
+    private static Refusal refusal(AdmissionDecision offer) {
+        return assertInstanceOf(AdmissionDecision.Refused.class, offer).refusal();
     }
 
-    private static RefusalReason reason(Offer offer) {
+    private static RefusalReason reason(AdmissionDecision offer) {
         return refusal(offer).reason();
     }
 }
--- a/core/src/test/java/org/damaskmoor/core/admission/AdmissionDifferentialTest.java
+++ b/core/src/test/java/org/damaskmoor/core/admission/AdmissionDifferentialTest.java
@@ -17,8 +17,8 @@
     private static final int STEPS = 200;
 
     private long start;
-    private final Comparator<Admission> byTurn =
-            Comparator.comparingInt((Admission request) -> -request.importance())
+    private final Comparator<AdmissionRequest> byTurn =
+            Comparator.comparingInt((AdmissionRequest request) -> -request.importance())
                     .thenComparingLong(request -> request.deadlineNanoseconds() - start)
                     .thenComparingLong(request -> request.id().sequence());
 
@@ -30,7 +30,7 @@
         Random random = new Random(seed);
         AdmissionFixture fixture = new AdmissionFixture(slots, queueLimit);
         start = fixture.now;
-        List<Admission> waiting = new ArrayList<>();
+        List<AdmissionRequest> waiting = new ArrayList<>();
         for (int i = 0; i < STEPS; i++) {
             // when
             fixture.advance(random.nextInt(4));
@@ -45,12 +45,12 @@
         }
     }
 
-    private void step(Random random, AdmissionFixture fixture, List<Admission> waiting) {
+    private void step(Random random, AdmissionFixture fixture, List<AdmissionRequest> waiting) {
         int kind = random.nextInt(10);
         if (kind < 6) {
             offer(randomRequest(random, fixture), fixture, waiting);
         } else if (kind == 6 && !waiting.isEmpty()) {
-            Admission cancelled = waiting.remove(random.nextInt(waiting.size()));
+            AdmissionRequest cancelled = waiting.remove(random.nextInt(waiting.size()));
             assertThat(fixture.controller.cancel(cancelled.id())).isTrue();
         } else if (!fixture.running.isEmpty()) {
             fixture.finishOne(random.nextInt(20), AdmissionOutcome.ANSWERED);
@@ -58,30 +58,30 @@
         }
     }
 
-    private static Admission randomRequest(Random random, AdmissionFixture fixture) {
+    private static AdmissionRequest randomRequest(Random random, AdmissionFixture fixture) {
         CallerName caller = new CallerName("caller-" + random.nextInt(3));
         return fixture.request(caller, random.nextInt(4), random.nextInt(100));
     }
 
     private static void offer(
-            Admission request, AdmissionFixture fixture, List<Admission> waiting) {
-        Offer offer = fixture.offer(request);
-        if (offer instanceof Offer.Queued queued) {
+            AdmissionRequest request, AdmissionFixture fixture, List<AdmissionRequest> waiting) {
+        AdmissionDecision offer = fixture.offer(request);
+        if (offer instanceof AdmissionDecision.Queued queued) {
             for (Refusal displaced : queued.displaced()) {
-                Admission victim = remove(waiting, displaced);
+                AdmissionRequest victim = remove(waiting, displaced);
                 assertThat(victim.importance()).isAtMost(request.importance());
             }
             waiting.add(request);
-        } else if (offer instanceof Offer.Admitted) {
+        } else if (offer instanceof AdmissionDecision.Admitted) {
             assertThat(waiting).isEmpty();
         }
     }
 
-    private void next(AdmissionFixture fixture, List<Admission> waiting) {
-        NextAdmissions next = fixture.next();
+    private void next(AdmissionFixture fixture, List<AdmissionRequest> waiting) {
+        DequeuedRequests next = fixture.next();
         next.refused().forEach(refusal -> remove(waiting, refusal));
         waiting.sort(byTurn);
-        for (Admission admitted : next.admitted()) {
+        for (AdmissionRequest admitted : next.admitted()) {
             assertThat(admitted).isEqualTo(waiting.remove(0));
             assertThat(admitted.deadlineNanoseconds() - fixture.now).isGreaterThan(0);
         }
@@ -89,8 +89,8 @@
         assertThat(slotFree && !waiting.isEmpty()).isFalse();
     }
 
-    private static Admission remove(List<Admission> waiting, Refusal refusal) {
-        for (Admission request : waiting) {
+    private static AdmissionRequest remove(List<AdmissionRequest> waiting, Refusal refusal) {
+        for (AdmissionRequest request : waiting) {
             if (request.id().equals(refusal.id())) {
                 waiting.remove(request);
                 return request;
--- a/core/src/test/java/org/damaskmoor/core/admission/AdmissionFixture.java
+++ b/core/src/test/java/org/damaskmoor/core/admission/AdmissionFixture.java
@@ -28,32 +28,33 @@
 
     AdmissionFixture(int slots, AdmissionOptions options) {
         controller = AdmissionController.create(options);
-        controller.onUpstream(UpstreamState.SERVING, slots, 250);
+        controller.onUpstreamState(UpstreamState.SERVING, slots, 250);
     }
 
-    Admission request(CallerName caller, int importance, long deadlineMilliseconds) {
+    AdmissionRequest request(CallerName caller, int importance, long deadlineMilliseconds) {
         RequestId id = new RequestId(ENTRY, new Incarnation(1), ++sequence);
-        return new Admission(id, caller, 1, importance, now + deadlineMilliseconds * MILLISECOND);
+        return new AdmissionRequest(
+                id, caller, 1, importance, now + deadlineMilliseconds * MILLISECOND);
     }
 
-    Admission request() {
+    AdmissionRequest request() {
         return request(RESIDENTS, 1, 5000);
     }
 
-    Offer offer(Admission request) {
-        Offer offer = controller.offer(request, now);
-        if (offer instanceof Offer.Admitted) {
+    AdmissionDecision offer(AdmissionRequest request) {
+        AdmissionDecision offer = controller.offer(request, now);
+        if (offer instanceof AdmissionDecision.Admitted) {
             running.add(request.id());
         }
         return offer;
     }
 
-    Offer offer() {
+    AdmissionDecision offer() {
         return offer(request());
     }
 
-    NextAdmissions next() {
-        NextAdmissions next = controller.next(now);
+    DequeuedRequests next() {
+        DequeuedRequests next = controller.dequeue(now);
         next.admitted().forEach(request -> running.add(request.id()));
         return next;
     }
@@ -63,7 +64,7 @@
     }
 
     void finishOne(long latencyMilliseconds, AdmissionOutcome outcome) {
-        controller.finished(running.remove(0), latencyMilliseconds * MILLISECOND, outcome, now);
+        controller.onFinished(running.remove(0), latencyMilliseconds * MILLISECOND, outcome, now);
     }
 
     /** Lets the upstream answer so many requests, each with all slots taken. */
--- a/core/src/test/java/org/damaskmoor/core/once/OnceWorldSetup.java
+++ b/core/src/test/java/org/damaskmoor/core/atmostonce/AtMostOnceScenario.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.once;
+package org.damaskmoor.core.atmostonce;
 
 import java.util.function.UnaryOperator;
 
@@ -12,34 +12,34 @@
  * @param ledgers wraps each target's ledger, to break a guard
  * @param calls wraps each entry call, to break a guard
  */
-record OnceWorldSetup(
+record AtMostOnceScenario(
         int targets,
         boolean restarts,
         boolean sharedKey,
         boolean nonIdempotent,
         UnaryOperator<TargetLedger> ledgers,
         UnaryOperator<EntryCall> calls) {
-    static OnceWorldSetup nonIdempotentRequests() {
-        return new OnceWorldSetup(
+    static AtMostOnceScenario nonIdempotentRequests() {
+        return new AtMostOnceScenario(
                 3, true, false, true, UnaryOperator.identity(), UnaryOperator.identity());
     }
 
-    static OnceWorldSetup idempotentRequests() {
-        return new OnceWorldSetup(
+    static AtMostOnceScenario idempotentRequests() {
+        return new AtMostOnceScenario(
                 3, true, false, false, UnaryOperator.identity(), UnaryOperator.identity());
     }
 
     /** Resends meet at one target; without a claim no more is promised. */
-    static OnceWorldSetup resends() {
-        return new OnceWorldSetup(
+    static AtMostOnceScenario resends() {
+        return new AtMostOnceScenario(
                 1, false, true, true, UnaryOperator.identity(), UnaryOperator.identity());
     }
 
-    OnceWorldSetup withLedgers(UnaryOperator<TargetLedger> broken) {
-        return new OnceWorldSetup(targets, restarts, sharedKey, nonIdempotent, broken, calls);
+    AtMostOnceScenario withLedgers(UnaryOperator<TargetLedger> broken) {
+        return new AtMostOnceScenario(targets, restarts, sharedKey, nonIdempotent, broken, calls);
     }
 
-    OnceWorldSetup withCalls(UnaryOperator<EntryCall> broken) {
-        return new OnceWorldSetup(targets, restarts, sharedKey, nonIdempotent, ledgers, broken);
+    AtMostOnceScenario withCalls(UnaryOperator<EntryCall> broken) {
+        return new AtMostOnceScenario(targets, restarts, sharedKey, nonIdempotent, ledgers, broken);
     }
 }
--- a/core/src/test/java/org/damaskmoor/core/once/OnceWorld.java
+++ b/core/src/test/java/org/damaskmoor/core/atmostonce/AtMostOnceSimulation.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.once;
+package org.damaskmoor.core.atmostonce;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -21,7 +21,7 @@
  * told "not run" has not run and never does; a caller gets one outcome, and only its own answer.
  * Every timeout may fire at any time, so the invariants depend on no timing. Not thread-safe.
  */
-final class OnceWorld {
+final class AtMostOnceSimulation {
     static final long DEADLINE_NANOSECONDS = 30;
     static final long SKEW_NANOSECONDS = 10;
     private static final int REQUESTS = 3;
@@ -29,7 +29,7 @@
     private static final int STEPS_AFTER_THE_END = 100;
 
     final Random random;
-    final OnceWorldSetup setup;
+    final AtMostOnceScenario setup;
     final List<FakeTarget> targets = new ArrayList<>();
     long nowNanoseconds;
     private final List<FakeEntry> entries = new ArrayList<>();
@@ -38,7 +38,7 @@
     private final Set<RequestId> toldNotRun = new HashSet<>();
     private final Set<RequestId> told = new HashSet<>();
 
-    OnceWorld(long seed, OnceWorldSetup setup) {
+    AtMostOnceSimulation(long seed, AtMostOnceScenario setup) {
         this.random = new Random(seed);
         this.setup = setup;
         for (int i = 0; i < setup.targets(); i++) {
@@ -104,34 +104,34 @@
     }
 
     /** What must run at most once: the request, or the key that it shares with others. */
-    private Object unitOfRun(RequestId id) {
+    private Object executionKey(RequestId id) {
         return setup.sharedKey() ? "shared key" : id;
     }
 
-    void ran(RequestId id) {
-        int count = runs.merge(unitOfRun(id), 1, Integer::sum);
+    void recordRun(RequestId id) {
+        int count = runs.merge(executionKey(id), 1, Integer::sum);
         check(count == 1 || !setup.nonIdempotent(), "runs at most once", id);
         check(!toldNotRun.contains(id), "never runs after 'not run' was told", id);
     }
 
-    void tellNotRun(RequestId id) {
-        tellOutcome(id);
+    void recordNotRun(RequestId id) {
+        recordOutcome(id);
         toldNotRun.add(id);
         check(runs.getOrDefault(id, 0) == 0, "told 'not run' only when it has not run", id);
     }
 
-    void tellAnswer(RequestId id, String answer) {
-        tellOutcome(id);
+    void recordAnswer(RequestId id, String answer) {
+        recordOutcome(id);
         check(answer.equals(answerOf(id)), "gets its own answer", id);
-        check(runs.containsKey(unitOfRun(id)), "answered only when it ran", id);
+        check(runs.containsKey(executionKey(id)), "answered only when it ran", id);
     }
 
-    void tellOutcome(RequestId id) {
+    void recordOutcome(RequestId id) {
         check(told.add(id), "gets one outcome", id);
     }
 
     String answerOf(RequestId id) {
-        return "answer of " + unitOfRun(id);
+        return "answer of " + executionKey(id);
     }
 
     private static void check(boolean holds, String invariant, RequestId id) {
--- a/core/src/test/java/org/damaskmoor/core/once/FakeEntry.java
+++ b/core/src/test/java/org/damaskmoor/core/atmostonce/FakeEntry.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.once;
+package org.damaskmoor.core.atmostonce;
 
 import java.util.HashMap;
 import java.util.List;
@@ -14,14 +14,14 @@
 
     final RequestId id;
     final EntryCall call;
-    private final OnceWorld world;
+    private final AtMostOnceSimulation world;
     private final Map<AttemptId, String> answers = new HashMap<>();
     private AttemptId pendingSend;
     private AttemptId lastAttempt;
     private final boolean paused;
     private boolean begun;
 
-    FakeEntry(OnceWorld world, RequestId id) {
+    FakeEntry(AtMostOnceSimulation world, RequestId id) {
         this.world = world;
         this.id = id;
         this.paused = world.random.nextInt(3) == 0;
@@ -76,7 +76,7 @@
 
     /** A paused entry does not notice its deadline. */
     private void deadlineWhenDue() {
-        boolean due = world.nowNanoseconds >= OnceWorld.DEADLINE_NANOSECONDS;
+        boolean due = world.nowNanoseconds >= AtMostOnceSimulation.DEADLINE_NANOSECONDS;
         if (due && !paused) {
             perform(call.deadline());
         }
@@ -105,11 +105,11 @@
         } else if (action instanceof EntryAction.Cancel cancel) {
             world.send(() -> target(cancel.target()).onCancel(cancel.attempt()));
         } else if (action instanceof EntryAction.AnswerCaller answer) {
-            world.tellAnswer(id, answers.get(answer.attempt()));
+            world.recordAnswer(id, answers.get(answer.attempt()));
         } else if (action instanceof EntryAction.RefuseCaller) {
-            world.tellNotRun(id);
+            world.recordNotRun(id);
         } else if (action instanceof EntryAction.UnknownToCaller) {
-            world.tellOutcome(id);
+            world.recordOutcome(id);
         }
     }
 
--- a/core/src/test/java/org/damaskmoor/core/once/FakeTarget.java
+++ b/core/src/test/java/org/damaskmoor/core/atmostonce/FakeTarget.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.once;
+package org.damaskmoor.core.atmostonce;
 
 import com.google.protobuf.ByteString;
 import java.util.ArrayList;
@@ -18,7 +18,7 @@
     private static final LedgerLimits LIMITS = new LedgerLimits(2, 64, 1);
 
     final NodeId node;
-    private final OnceWorld world;
+    private final AtMostOnceSimulation world;
     private final List<RequestId> queue = new ArrayList<>();
     private final List<RequestId> upstream = new ArrayList<>();
     private final Map<RequestId, AttemptId> lastAttempts = new HashMap<>();
@@ -26,10 +26,11 @@
     private Incarnation incarnation = new Incarnation(1);
     private TargetLedger ledger;
 
-    FakeTarget(OnceWorld world, NodeId node) {
+    FakeTarget(AtMostOnceSimulation world, NodeId node) {
         this.world = world;
         this.node = node;
-        this.clockLagNanoseconds = world.random.nextInt((int) OnceWorld.SKEW_NANOSECONDS);
+        this.clockLagNanoseconds =
+                world.random.nextInt((int) AtMostOnceSimulation.SKEW_NANOSECONDS);
         this.ledger = freshLedger();
     }
 
@@ -73,8 +74,9 @@
                 ledger.accept(
                         world.callKey(attempt.request()),
                         meant,
-                        OnceWorld.DEADLINE_NANOSECONDS,
-                        OnceWorld.DEADLINE_NANOSECONDS + OnceWorld.SKEW_NANOSECONDS,
+                        AtMostOnceSimulation.DEADLINE_NANOSECONDS,
+                        AtMostOnceSimulation.DEADLINE_NANOSECONDS
+                                + AtMostOnceSimulation.SKEW_NANOSECONDS,
                         now());
         switch (acceptance.result()) {
             case ACCEPTED -> {
@@ -101,7 +103,8 @@
                 ledger.seal(
                         attempt.request(),
                         target.incarnation(),
-                        OnceWorld.DEADLINE_NANOSECONDS + OnceWorld.SKEW_NANOSECONDS,
+                        AtMostOnceSimulation.DEADLINE_NANOSECONDS
+                                + AtMostOnceSimulation.SKEW_NANOSECONDS,
                         now());
         toEntry(attempt, entry -> entry.call.sealResult(attempt, state));
         if (state == SealState.SEALED) {
@@ -133,7 +136,7 @@
             queue.add(id);
             return;
         }
-        world.ran(id);
+        world.recordRun(id);
         upstream.add(id);
     }
 
@@ -159,7 +162,7 @@
     }
 
     private void tellOutcome(RequestId run) {
-        for (RequestId id : ledger.sharing(run)) {
+        for (RequestId id : ledger.requestsSharingRun(run)) {
             AttemptId attempt = lastAttempts.get(id);
             if (attempt != null) {
                 tell(attempt, ledger.state(id).orElseThrow(), ledger.answer(id));
--- a/core/src/test/java/org/damaskmoor/core/once/BrokenGuardTest.java
+++ b/core/src/test/java/org/damaskmoor/core/atmostonce/GuardMutationTest.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.once;
+package org.damaskmoor.core.atmostonce;
 
 import static com.google.common.truth.Truth.assertWithMessage;
 
@@ -6,12 +6,12 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 
-class BrokenGuardTest {
+class GuardMutationTest {
     private static final int WORLDS = 5_000;
 
     @TestFactory
     Stream<DynamicTest> should_break_an_invariant_when_a_guard_is_missing() {
-        return BrokenGuards.all().entrySet().stream()
+        return GuardMutations.all().entrySet().stream()
                 .map(
                         guard ->
                                 DynamicTest.dynamicTest(
@@ -19,15 +19,15 @@
                                         () -> assertCaught(guard.getKey(), guard.getValue())));
     }
 
-    private static void assertCaught(String fault, OnceWorldSetup setup) {
+    private static void assertCaught(String fault, AtMostOnceScenario setup) {
         assertWithMessage("%s is caught", fault).that(isCaught(setup)).isTrue();
     }
 
-    private static boolean isCaught(OnceWorldSetup setup) {
+    private static boolean isCaught(AtMostOnceScenario setup) {
         for (long seed = 0; seed < WORLDS; seed++) {
             try {
-                new OnceWorld(seed, setup).run();
-            } catch (OnceWorld.BrokenInvariant caught) {
+                new AtMostOnceSimulation(seed, setup).run();
+            } catch (AtMostOnceSimulation.BrokenInvariant caught) {
                 return true;
             }
         }
--- a/core/src/test/java/org/damaskmoor/core/once/BrokenGuards.java
+++ b/core/src/test/java/org/damaskmoor/core/atmostonce/GuardMutations.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.once;
+package org.damaskmoor.core.atmostonce;
 
 import java.lang.reflect.InvocationTargetException;
 import java.lang.reflect.Method;
@@ -13,34 +13,36 @@
 import org.damaskmoor.schema.mesh.SealState;
 
 /** The protocol with one guard taken away each; the invariants must catch every one of them. */
-final class BrokenGuards {
-    private BrokenGuards() {}
+final class GuardMutations {
+    private GuardMutations() {}
 
     /** Returns the broken protocols by the fault that each has. */
-    static Map<String, OnceWorldSetup> all() {
-        Map<String, OnceWorldSetup> all = new LinkedHashMap<>();
+    static Map<String, AtMostOnceScenario> all() {
+        Map<String, AtMostOnceScenario> all = new LinkedHashMap<>();
         all.put(
                 "runs a duplicate",
-                ledger("accept", BrokenGuards::acceptAgain, "handOver", always()));
-        all.put("seals after hand over", ledger("seal", BrokenGuards::alwaysSealed));
-        all.put("leaves no tombstone", ledger("seal", BrokenGuards::sealKnownOnly));
+                ledger("accept", GuardMutations::acceptAgain, "handOver", always()));
+        all.put("seals after hand over", ledger("seal", GuardMutations::alwaysSealed));
+        all.put("leaves no tombstone", ledger("seal", GuardMutations::sealKnownOnly));
         all.put("hands over what was sealed", ledger("handOver", always()));
         all.put(
                 "drops tombstones early",
                 ledger("expire", (kept, name, values) -> expireAll(kept)));
         all.put(
                 "takes calls of a former incarnation",
-                ledger("accept", BrokenGuards::acceptAnyIncarnation));
+                ledger("accept", GuardMutations::acceptAnyIncarnation));
         all.put(
                 "vouches for a former incarnation",
-                ledger("seal", BrokenGuards::sealAnyIncarnation));
-        all.put("vouches for what it dropped", ledger("seal", BrokenGuards::sealWithoutTime));
-        all.put("runs a resend", resends("accept", BrokenGuards::acceptWithoutKey));
-        all.put("takes a failure for not run", resends("failed", BrokenGuards::refuseAfterFailure));
-        all.put("retries without seal", call("acceptanceTimeout", BrokenGuards::asNotSent));
-        all.put("trusts a stale refusal", call("refused", BrokenGuards::asNotSent));
-        all.put("trusts silence", call("sealTimeout", BrokenGuards::asNotSent));
-        all.put("refuses at the deadline", call("deadline", BrokenGuards::refuseUnlessFinished));
+                ledger("seal", GuardMutations::sealAnyIncarnation));
+        all.put("vouches for what it dropped", ledger("seal", GuardMutations::sealWithoutTime));
+        all.put("runs a resend", resends("accept", GuardMutations::acceptWithoutKey));
+        all.put(
+                "takes a failure for not run",
+                resends("failed", GuardMutations::refuseAfterFailure));
+        all.put("retries without seal", call("acceptanceTimeout", GuardMutations::asNotSent));
+        all.put("trusts a stale refusal", call("refused", GuardMutations::asNotSent));
+        all.put("trusts silence", call("sealTimeout", GuardMutations::asNotSent));
+        all.put("refuses at the deadline", call("deadline", GuardMutations::refuseUnlessFinished));
         all.put(
                 "writes after the end",
                 call(
@@ -49,7 +51,7 @@
                             kept.call(name, values);
                             return true;
                         }));
-        all.put("retries a failed call", call("failed", BrokenGuards::asNotSent));
+        all.put("retries a failed call", call("failed", GuardMutations::asNotSent));
         return all;
     }
 
@@ -81,27 +83,27 @@
         }
     }
 
-    private static OnceWorldSetup ledger(String method, Replacement replacement) {
-        return OnceWorldSetup.nonIdempotentRequests()
+    private static AtMostOnceScenario ledger(String method, Replacement replacement) {
+        return AtMostOnceScenario.nonIdempotentRequests()
                 .withLedgers(broken(TargetLedger.class, Map.of(method, replacement)));
     }
 
-    private static OnceWorldSetup ledger(
+    private static AtMostOnceScenario ledger(
             String first, Replacement firstBroken, String second, Replacement secondBroken) {
-        return OnceWorldSetup.nonIdempotentRequests()
+        return AtMostOnceScenario.nonIdempotentRequests()
                 .withLedgers(
                         broken(
                                 TargetLedger.class,
                                 Map.of(first, firstBroken, second, secondBroken)));
     }
 
-    private static OnceWorldSetup resends(String method, Replacement replacement) {
-        return OnceWorldSetup.resends()
+    private static AtMostOnceScenario resends(String method, Replacement replacement) {
+        return AtMostOnceScenario.resends()
                 .withLedgers(broken(TargetLedger.class, Map.of(method, replacement)));
     }
 
-    private static OnceWorldSetup call(String method, Replacement replacement) {
-        return OnceWorldSetup.nonIdempotentRequests()
+    private static AtMostOnceScenario call(String method, Replacement replacement) {
+        return AtMostOnceScenario.nonIdempotentRequests()
                 .withCalls(broken(EntryCall.class, Map.of(method, replacement)));
     }
 
@@ -145,7 +147,7 @@
     }
 
     private static Object expireAll(Kept kept) {
-        return kept.call("expire", OnceWorld.DEADLINE_NANOSECONDS * 1_000);
+        return kept.call("expire", AtMostOnceSimulation.DEADLINE_NANOSECONDS * 1_000);
     }
 
     private static Object acceptAnyIncarnation(Kept kept, String name, Object[] values) {
--- a/core/src/test/java/org/damaskmoor/core/once/internal/AttemptTrackingEntryCallTest.java
+++ b/core/src/test/java/org/damaskmoor/core/atmostonce/internal/AttemptTrackingEntryCallTest.java
@@ -1,16 +1,16 @@
-package org.damaskmoor.core.once.internal;
+package org.damaskmoor.core.atmostonce.internal;
 
 import static com.google.common.truth.Truth.assertThat;
 
 import java.util.List;
+import org.damaskmoor.core.atmostonce.AttemptId;
+import org.damaskmoor.core.atmostonce.EntryAction;
+import org.damaskmoor.core.atmostonce.EntryCall;
+import org.damaskmoor.core.atmostonce.UnknownOutcomeStep;
 import org.damaskmoor.core.id.Incarnation;
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.core.id.RequestId;
 import org.damaskmoor.core.id.TargetId;
-import org.damaskmoor.core.once.AttemptId;
-import org.damaskmoor.core.once.CallStep;
-import org.damaskmoor.core.once.EntryAction;
-import org.damaskmoor.core.once.EntryCall;
 import org.damaskmoor.schema.mesh.RefusalReason;
 import org.damaskmoor.schema.mesh.SealState;
 import org.junit.jupiter.api.Test;
@@ -48,7 +48,8 @@
         // then
         assertThat(actions)
                 .containsExactly(
-                        new EntryAction.UnknownToCaller(CallStep.TARGET_RESTARTED, A.node()));
+                        new EntryAction.UnknownToCaller(
+                                UnknownOutcomeStep.TARGET_RESTARTED, A.node()));
     }
 
     @Test
@@ -99,7 +100,8 @@
 
         // then
         assertThat(actions)
-                .containsExactly(new EntryAction.UnknownToCaller(CallStep.SEAL, A.node()));
+                .containsExactly(
+                        new EntryAction.UnknownToCaller(UnknownOutcomeStep.SEAL, A.node()));
     }
 
     @Test
--- a/core/src/test/java/org/damaskmoor/core/once/internal/BoundedTargetLedgerDifferentialTest.java
+++ b/core/src/test/java/org/damaskmoor/core/atmostonce/internal/BoundedTargetLedgerDifferentialTest.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.once.internal;
+package org.damaskmoor.core.atmostonce.internal;
 
 import static com.google.common.truth.Truth.assertThat;
 
@@ -7,16 +7,16 @@
 import java.util.Random;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
+import org.damaskmoor.core.atmostonce.CallKey;
+import org.damaskmoor.core.atmostonce.CallState;
+import org.damaskmoor.core.atmostonce.IdempotencyKey;
+import org.damaskmoor.core.atmostonce.LedgerLimits;
+import org.damaskmoor.core.atmostonce.TargetLedger;
 import org.damaskmoor.core.id.CallerName;
 import org.damaskmoor.core.id.Incarnation;
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.core.id.RequestId;
 import org.damaskmoor.core.id.ServiceName;
-import org.damaskmoor.core.once.CallKey;
-import org.damaskmoor.core.once.CallState;
-import org.damaskmoor.core.once.IdempotencyKey;
-import org.damaskmoor.core.once.LedgerLimits;
-import org.damaskmoor.core.once.TargetLedger;
 
 class BoundedTargetLedgerDifferentialTest {
     private static final int STEPS = 200;
@@ -24,7 +24,7 @@
     private static final ByteString ANSWER = ByteString.copyFromUtf8("answer");
     private static final Incarnation OWN = new Incarnation(1);
 
-    private final NaiveLedger naive = new NaiveLedger();
+    private final ReferenceLedger naive = new ReferenceLedger();
     private final TargetLedger ledger =
             TargetLedger.bounded(OWN, new LedgerLimits(1_000, 1_000_000, 10));
 
--- a/core/src/test/java/org/damaskmoor/core/once/internal/BoundedTargetLedgerTest.java
+++ b/core/src/test/java/org/damaskmoor/core/atmostonce/internal/BoundedTargetLedgerTest.java
@@ -1,22 +1,22 @@
-package org.damaskmoor.core.once.internal;
+package org.damaskmoor.core.atmostonce.internal;
 
 import static com.google.common.truth.Truth.assertThat;
 
 import com.google.protobuf.ByteString;
 import java.util.Optional;
+import org.damaskmoor.core.atmostonce.Acceptance;
+import org.damaskmoor.core.atmostonce.AcceptanceResult;
+import org.damaskmoor.core.atmostonce.CallKey;
+import org.damaskmoor.core.atmostonce.CallState;
+import org.damaskmoor.core.atmostonce.CancelResult;
+import org.damaskmoor.core.atmostonce.IdempotencyKey;
+import org.damaskmoor.core.atmostonce.LedgerLimits;
+import org.damaskmoor.core.atmostonce.TargetLedger;
 import org.damaskmoor.core.id.CallerName;
 import org.damaskmoor.core.id.Incarnation;
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.core.id.RequestId;
 import org.damaskmoor.core.id.ServiceName;
-import org.damaskmoor.core.once.Acceptance;
-import org.damaskmoor.core.once.AcceptanceResult;
-import org.damaskmoor.core.once.CallKey;
-import org.damaskmoor.core.once.CallState;
-import org.damaskmoor.core.once.CancelResult;
-import org.damaskmoor.core.once.IdempotencyKey;
-import org.damaskmoor.core.once.LedgerLimits;
-import org.damaskmoor.core.once.TargetLedger;
 import org.damaskmoor.schema.mesh.SealState;
 import org.junit.jupiter.api.Test;
 
@@ -120,7 +120,7 @@
 
         // then
         assertThat(result).isEqualTo(CancelResult.STILL_WANTED);
-        assertThat(ledger.sharing(id("entry", 1)))
+        assertThat(ledger.requestsSharingRun(id("entry", 1)))
                 .containsExactly(id("entry", 1), id("entry", 2))
                 .inOrder();
     }
--- a/core/src/test/java/org/damaskmoor/core/once/internal/NaiveLedger.java
+++ b/core/src/test/java/org/damaskmoor/core/atmostonce/internal/ReferenceLedger.java
@@ -1,20 +1,20 @@
-package org.damaskmoor.core.once.internal;
+package org.damaskmoor.core.atmostonce.internal;
 
 import com.google.protobuf.ByteString;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
+import org.damaskmoor.core.atmostonce.AcceptanceResult;
+import org.damaskmoor.core.atmostonce.CallKey;
+import org.damaskmoor.core.atmostonce.CallState;
+import org.damaskmoor.core.atmostonce.CancelResult;
+import org.damaskmoor.core.atmostonce.HandOverResult;
+import org.damaskmoor.core.atmostonce.IdempotencyKey;
 import org.damaskmoor.core.id.RequestId;
-import org.damaskmoor.core.once.AcceptanceResult;
-import org.damaskmoor.core.once.CallKey;
-import org.damaskmoor.core.once.CallState;
-import org.damaskmoor.core.once.CancelResult;
-import org.damaskmoor.core.once.HandOverResult;
-import org.damaskmoor.core.once.IdempotencyKey;
 import org.damaskmoor.schema.mesh.SealState;
 
 /** The same decisions in unbounded maps that are searched whole, without queues or fences. */
-final class NaiveLedger {
+final class ReferenceLedger {
     private final Map<RequestId, Entry> records = new HashMap<>();
 
     /** One request; {@code joined} names the run that a resend waits for. */
--- a/core/src/test/java/org/damaskmoor/core/configuration/ConfigurationSpreadTest.java
+++ b/core/src/test/java/org/damaskmoor/core/configuration/ConfigurationPropagationTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.damaskmoor.core.configuration.FakeServiceTable.Fate;
-import org.damaskmoor.core.configuration.PeerConfigurations.Standing;
+import org.damaskmoor.core.configuration.PeerConfigurationTracker.Standing;
 import org.damaskmoor.core.configuration.ServiceTable.Row;
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.schema.configuration.ServiceConfiguration;
@@ -19,7 +19,7 @@
 import org.damaskmoor.schema.mesh.ConfigurationAnswer;
 import org.junit.jupiter.api.Test;
 
-class ConfigurationSpreadTest {
+class ConfigurationPropagationTest {
     private static final NodeId PEER = new NodeId("besuch-1");
     private static final NodeId OTHER = new NodeId("besuch-2");
 
@@ -30,8 +30,8 @@
             (peer, services) -> requests.add(peer + services.toString());
     private final ConfigurationPuller puller =
             new ConfigurationPuller(store, requester, table, Runnable::run);
-    private final ConfigurationStart start =
-            new ConfigurationStart(store, requester, table, Runnable::run);
+    private final ConfigurationBootstrap start =
+            new ConfigurationBootstrap(store, requester, table, Runnable::run);
 
     private static VersionedConfiguration configuration(String service, long version) {
         return VersionedConfiguration.newBuilder()
@@ -74,8 +74,8 @@
     @Test
     void should_ask_the_next_peer_and_then_the_table_when_peers_stay_silent() {
         // given
-        puller.onVersion(PEER, version("besuch", 4));
-        puller.onVersion(OTHER, version("besuch", 4));
+        puller.onVersionAnnounced(PEER, version("besuch", 4));
+        puller.onVersionAnnounced(OTHER, version("besuch", 4));
         table.rows.put("besuch", new Row(configuration("besuch", 4), "tag"));
 
         // when
@@ -98,7 +98,7 @@
         table.fate = Fate.REFUSED;
 
         // when
-        start.ask(List.of(PEER, OTHER), 0);
+        start.requestAll(List.of(PEER, OTHER), 0);
         puller.onAnswer(PEER, answer("besuch", 4));
         start.onAnswer(PEER);
 
@@ -116,7 +116,7 @@
         table.fate = Fate.REFUSED;
 
         // when
-        start.ask(List.of(), 0);
+        start.requestAll(List.of(), 0);
         start.tick(List.of(), 0.5, 60_000);
 
         // then
@@ -126,7 +126,7 @@
     @Test
     void should_find_a_change_that_nobody_told_when_it_is_the_nodes_turn_to_read() {
         // given
-        start.ask(List.of(), 0);
+        start.requestAll(List.of(), 0);
         start.tick(List.of(), 0.5, 0);
         table.rows.put("besuch", new Row(configuration("besuch", 1), "tag"));
 
@@ -141,7 +141,7 @@
     void should_tell_all_versions_when_a_peer_stays_different() {
         // given
         List<ConfigurationVersion> told = new ArrayList<>();
-        PeerConfigurations peers = new PeerConfigurations();
+        PeerConfigurationTracker peers = new PeerConfigurationTracker();
         ConfigurationGossip gossip =
                 new ConfigurationGossip(
                         store, puller, peers, (peer, all) -> told.addAll(all), record -> false);
@@ -159,7 +159,7 @@
         // then
         assertThat(toldAtOnce).isEqualTo(0);
         assertThat(told).hasSize(2);
-        assertThat(peers.standingOf(PEER)).isEqualTo(Standing.BEHIND);
-        assertThat(peers.standingOf(OTHER)).isEqualTo(Standing.UNKNOWN);
+        assertThat(peers.statusOf(PEER)).isEqualTo(Standing.BEHIND);
+        assertThat(peers.statusOf(OTHER)).isEqualTo(Standing.UNKNOWN);
     }
 }
--- a/core/src/test/java/org/damaskmoor/core/readers/ReaderElectionTest.java
+++ b/core/src/test/java/org/damaskmoor/core/election/ReaderElectionTest.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.readers;
+package org.damaskmoor.core.election;
 
 import static com.google.common.truth.Truth.assertThat;
 
@@ -62,12 +62,12 @@
     void should_notice_within_the_timeout_that_no_reader_tells_any_more() {
         // given
         ReaderElection last = elections.get(NODES - 1);
-        last.heard(nodes.get(0), true, START);
+        last.onHeartbeat(nodes.get(0), true, START);
 
         // then
         long before = START + ReaderElection.TIMEOUT_MILLISECONDS - 1;
-        assertThat(last.isInformed(before)).isTrue();
-        assertThat(last.isInformed(before + 1)).isFalse();
+        assertThat(last.hasHealthyReader(before)).isTrue();
+        assertThat(last.hasHealthyReader(before + 1)).isFalse();
     }
 
     @Test
@@ -76,10 +76,10 @@
         ReaderElection last = elections.get(NODES - 1);
 
         // when
-        last.heard(nodes.get(0), false, START);
+        last.onHeartbeat(nodes.get(0), false, START);
 
         // then
-        assertThat(last.isInformed(START)).isFalse();
+        assertThat(last.hasHealthyReader(START)).isFalse();
     }
 
     /** Lets the nodes that are not gone send signs; returns all that were readers meanwhile. */
@@ -99,7 +99,7 @@
     private void tell(NodeId reader, long now) {
         for (int i = 0; i < NODES; i++) {
             if (!nodes.get(i).equals(reader)) {
-                elections.get(i).heard(reader, true, now);
+                elections.get(i).onHeartbeat(reader, true, now);
             }
         }
     }
--- a/core/src/test/java/org/damaskmoor/core/lease/LeaseTest.java
+++ b/core/src/test/java/org/damaskmoor/core/lease/LeaseTest.java
@@ -67,7 +67,7 @@
         Lease other = new Lease("node-b/1", DURATION, MARGIN);
         drive(paused, table, 0);
         drive(other, table, 0);
-        LeaseStep.Write late = paused.beginGuardedWrite(1).orElseThrow();
+        LeaseStep.Write late = paused.beginFencedWrite(1).orElseThrow();
 
         // when
         for (long now = 0; now <= 2 * DURATION; now += DURATION / 10) {
@@ -88,7 +88,7 @@
         lease.next(0);
         lease.onRead(Optional.empty(), 0);
         table.write((LeaseStep.Write) lease.next(10));
-        lease.onUnknown(DURATION / 2);
+        lease.onOutcomeUnknown(DURATION / 2);
 
         // when
         drive(lease, table, DURATION * 3 / 4);
@@ -157,7 +157,7 @@
             return;
         }
         Optional<LeaseStep.Write> guard =
-                random.nextBoolean() ? lease.beginGuardedWrite(now) : Optional.empty();
+                random.nextBoolean() ? lease.beginFencedWrite(now) : Optional.empty();
         if (guard.isPresent()) {
             actGuarded(lease, table, guard.get(), delayed, random, now);
             return;
@@ -168,7 +168,7 @@
         } else if (step instanceof LeaseStep.Write write) {
             boolean taken = random.nextInt(8) != 0 && table.write(write);
             if (random.nextInt(4) == 0) {
-                lease.onUnknown(now);
+                lease.onOutcomeUnknown(now);
             } else {
                 answer(lease, taken, table, now);
             }
@@ -184,7 +184,7 @@
             long now) {
         if (random.nextInt(4) == 0) {
             delayed.add(guard);
-            lease.onUnknown(now);
+            lease.onOutcomeUnknown(now);
         } else {
             answer(lease, table.writeGuarded(guard), table, now);
         }
--- a/core/src/test/java/org/damaskmoor/core/load/LoadTest.java
+++ b/core/src/test/java/org/damaskmoor/core/load/LoadMeasurementTest.java
@@ -21,13 +21,13 @@
 import org.damaskmoor.schema.mesh.UpstreamState;
 import org.junit.jupiter.api.Test;
 
-class LoadTest {
+class LoadMeasurementTest {
     private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
     private static final RegionName HOME = new RegionName("mittelland");
     private static final RegionName FAR = new RegionName("oberland");
     private static final ServiceName SERVICE = new ServiceName("besuch");
 
-    private static final List<MeasuringKind> KINDS = List.of(MeasuringKind.values());
+    private static final List<MeasurementKind> KINDS = List.of(MeasurementKind.values());
 
     private record Spending(long atNanoseconds, int bytes) {}
 
@@ -37,13 +37,13 @@
         // given
         Random random = new Random(seed);
         long now = random.nextLong();
-        MeasuringBudget budget = new MeasuringBudget(rate, now);
+        MeasurementBudget budget = new MeasurementBudget(rate, now);
         List<Spending> spent = new ArrayList<>();
 
         // when
         for (int i = 0; i < 100; i++) {
             now += random.nextInt(200_000_000);
-            MeasuringKind kind = KINDS.get(random.nextInt(KINDS.size()));
+            MeasurementKind kind = KINDS.get(random.nextInt(KINDS.size()));
             int bytes = 1 + random.nextInt(500);
             if (budget.trySpend(kind, bytes, now)) {
                 spent.add(new Spending(now, bytes));
@@ -64,7 +64,7 @@
     @Test
     void should_probe_only_quiet_targets_of_the_own_region_while_the_service_is_in_use() {
         // given
-        ProbePlanner planner = new ProbePlanner(HOME, new MeasuringBudget(100_000, 0));
+        ProbePlanner planner = new ProbePlanner(HOME, new MeasurementBudget(100_000, 0));
         Target quiet = target("quiet", HOME, UpstreamState.SERVING);
         Target busy = target("busy", HOME, UpstreamState.SERVING);
         Target far = target("far", FAR, UpstreamState.SERVING);
@@ -74,7 +74,7 @@
         // when
         List<TargetId> unused = planner.plan(SECOND);
         planner.onRequest(SECOND);
-        planner.onHeard(busy.id(), SECOND);
+        planner.onLoadReport(busy.id(), SECOND);
         List<TargetId> used = planner.plan(SECOND);
         List<TargetId> again = planner.plan(SECOND);
         List<TargetId> later = planner.plan(60 * SECOND);
@@ -89,7 +89,7 @@
     @Test
     void should_keep_probes_of_a_large_service_within_the_budget() {
         // given
-        MeasuringBudget budget = new MeasuringBudget(1024, 0);
+        MeasurementBudget budget = new MeasurementBudget(1024, 0);
         ProbePlanner planner = new ProbePlanner(HOME, budget);
         List<Target> targets = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
@@ -105,18 +105,18 @@
         }
 
         // then
-        assertThat(budget.spentBytes(MeasuringKind.PROBE)).isAtMost(61 * 1024);
-        assertThat(budget.spentBytes(MeasuringKind.PROBE)).isAtLeast(59 * 1024);
-        assertThat(budget.deniedBytes(MeasuringKind.PROBE)).isGreaterThan(0);
+        assertThat(budget.spentBytes(MeasurementKind.PROBE)).isAtMost(61 * 1024);
+        assertThat(budget.spentBytes(MeasurementKind.PROBE)).isAtLeast(59 * 1024);
+        assertThat(budget.deniedBytes(MeasurementKind.PROBE)).isGreaterThan(0);
     }
 
     @Test
     void should_count_silent_targets_with_the_mean_of_the_others() {
         // given
-        RegionSummaries summaries = new RegionSummaries(SERVICE, HOME);
-        summaries.onHeard(id("stale"), report(10, 1000), 0);
-        summaries.onHeard(id("a"), report(2, 4000), 3 * SECOND);
-        summaries.onHeard(id("b"), report(4, 6000), 3 * SECOND);
+        RegionSummarizer summaries = new RegionSummarizer(SERVICE, HOME);
+        summaries.onLoadReport(id("stale"), report(10, 1000), 0);
+        summaries.onLoadReport(id("a"), report(2, 4000), 3 * SECOND);
+        summaries.onLoadReport(id("b"), report(4, 6000), 3 * SECOND);
 
         // when
         RegionSummary summary = summaries.summary(4, 3 * SECOND).orElseThrow();
@@ -128,21 +128,21 @@
     @Test
     void should_send_a_summary_early_only_when_much_has_changed() {
         // given
-        RegionSummaries summaries = new RegionSummaries(SERVICE, HOME);
-        long interval = RegionSummaries.LEAST_INTERVAL_MILLISECONDS * SECOND / 1000;
-        long longest = RegionSummaries.GREATEST_INTERVAL_MILLISECONDS * SECOND / 1000;
-        summaries.onHeard(id("a"), report(2, 5000), 0);
+        RegionSummarizer summaries = new RegionSummarizer(SERVICE, HOME);
+        long interval = RegionSummarizer.LEAST_INTERVAL_MILLISECONDS * SECOND / 1000;
+        long longest = RegionSummarizer.GREATEST_INTERVAL_MILLISECONDS * SECOND / 1000;
+        summaries.onLoadReport(id("a"), report(2, 5000), 0);
 
         // when
-        boolean first = summaries.due(1, 0).isPresent();
-        summaries.onHeard(id("a"), report(9, 5000), 1);
-        boolean tooSoon = summaries.due(1, 1).isPresent();
-        summaries.onHeard(id("a"), report(2, 5000), interval);
-        boolean unchanged = summaries.due(1, interval).isPresent();
-        summaries.onHeard(id("a"), report(9, 5000), interval);
-        boolean changed = summaries.due(1, interval).isPresent();
-        summaries.onHeard(id("a"), report(9, 5000), interval + longest);
-        boolean refreshed = summaries.due(1, interval + longest).isPresent();
+        boolean first = summaries.pollDue(1, 0).isPresent();
+        summaries.onLoadReport(id("a"), report(9, 5000), 1);
+        boolean tooSoon = summaries.pollDue(1, 1).isPresent();
+        summaries.onLoadReport(id("a"), report(2, 5000), interval);
+        boolean unchanged = summaries.pollDue(1, interval).isPresent();
+        summaries.onLoadReport(id("a"), report(9, 5000), interval);
+        boolean changed = summaries.pollDue(1, interval).isPresent();
+        summaries.onLoadReport(id("a"), report(9, 5000), interval + longest);
+        boolean refreshed = summaries.pollDue(1, interval + longest).isPresent();
 
         // then
         assertThat(List.of(first, tooSoon, unchanged, changed, refreshed))
@@ -159,11 +159,11 @@
         }
 
         // when
-        Optional<NodeId> sender = RegionSummaries.sender(SERVICE, nodes);
+        Optional<NodeId> sender = RegionSummarizer.electSender(SERVICE, nodes);
         nodes.removeIf(node -> !node.equals(sender.orElseThrow()) && node.value().endsWith("3"));
 
         // then
-        assertThat(RegionSummaries.sender(SERVICE, nodes)).isEqualTo(sender);
+        assertThat(RegionSummarizer.electSender(SERVICE, nodes)).isEqualTo(sender);
     }
 
     private static TargetId id(String node) {
--- a/core/src/test/java/org/damaskmoor/core/membership/MembershipProtocolTest.java
+++ b/core/src/test/java/org/damaskmoor/core/membership/MembershipProtocolTest.java
@@ -109,7 +109,7 @@
         group.members.put("older start", older);
         group.run(5 * SECOND);
         older.frozen = false;
-        older.protocol.announceSelf(UpstreamState.SERVING, 99, group.now);
+        older.protocol.announceUpstream(UpstreamState.SERVING, 99, group.now);
         group.run(60 * SECOND);
 
         // then
@@ -165,11 +165,11 @@
 
         // when
         group.run(HOUR);
-        group.get("mittelland-3").protocol.announceSelf(UpstreamState.LEAVING, 10, group.now);
+        group.get("mittelland-3").protocol.announceUpstream(UpstreamState.LEAVING, 10, group.now);
         group.run(20 * SECOND);
         group.cut = (from, to) -> false;
         group.run(20 * SECOND);
-        group.get("mittelland-3").protocol.spread(version);
+        group.get("mittelland-3").protocol.broadcast(version);
         group.run(2 * SECOND);
 
         // then
@@ -216,7 +216,7 @@
         givenTwoRegions();
 
         // when
-        group.get("oberland-1").protocol.announceSelf(UpstreamState.LEAVING, 10, group.now);
+        group.get("oberland-1").protocol.announceUpstream(UpstreamState.LEAVING, 10, group.now);
         group.run(2 * SECOND);
 
         // then
--- a/core/src/test/java/org/damaskmoor/core/placement/UsualWorkTest.java
+++ b/core/src/test/java/org/damaskmoor/core/placement/RouteStatisticsTest.java
@@ -4,46 +4,46 @@
 
 import org.junit.jupiter.api.Test;
 
-class UsualWorkTest {
-    private final UsualWork work = new UsualWork();
+class RouteStatisticsTest {
+    private final RouteStatistics work = new RouteStatistics();
 
     @Test
     void should_learn_the_time_on_an_idle_vm_from_answers_of_slow_ones() {
         // when
         for (int i = 0; i < 50; i++) {
-            work.answered("read", 500, 5, 2);
+            work.onAnswered("read", 500, 5, 2);
         }
 
         // then
-        assertThat(work.milliseconds("read")).isWithin(1).of(100);
+        assertThat(work.meanMilliseconds("read")).isWithin(1).of(100);
     }
 
     @Test
     void should_know_nothing_of_a_route_without_answers() {
         // when, then
-        assertThat(work.milliseconds("read")).isEqualTo(0.0);
-        assertThat(work.isTooShort("read", 1)).isFalse();
+        assertThat(work.meanMilliseconds("read")).isEqualTo(0.0);
+        assertThat(work.isDeadlineTooShort("read", 1)).isFalse();
     }
 
     @Test
     void should_unlearn_a_time_that_was_learnt_while_upstreams_were_slow() {
         // given
         for (int i = 0; i < 50; i++) {
-            work.answered("read", 2000, 1, 2);
+            work.onAnswered("read", 2000, 1, 2);
         }
 
         // when calls with 1,000 ms left come, and those that are let through take 100 ms
         int refused = 0;
         for (int i = 0; i < 400; i++) {
-            if (work.isTooShort("read", 1000)) {
+            if (work.isDeadlineTooShort("read", 1000)) {
                 refused++;
             } else {
-                work.answered("read", 100, 1, 2);
+                work.onAnswered("read", 100, 1, 2);
             }
         }
 
         // then
         assertThat(refused).isLessThan(100);
-        assertThat(work.isTooShort("read", 1000)).isFalse();
+        assertThat(work.isDeadlineTooShort("read", 1000)).isFalse();
     }
 }
--- a/core/src/test/java/org/damaskmoor/core/placement/TargetChooserTest.java
+++ b/core/src/test/java/org/damaskmoor/core/placement/TargetChooserTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 class TargetChooserTest {
-    private static final WorkView WORK = new WorkView(100, 800, 2);
+    private static final CallProfile WORK = new CallProfile(100, 800, 2);
     private static final long NOW = 10_000;
 
     private final TargetChooser chooser = new TargetChooser(new SplittableRandom(1));
@@ -19,8 +19,8 @@
     @Test
     void should_prefer_a_near_target_that_is_a_little_slower_while_both_answer_in_time() {
         // given
-        TargetEstimate near = target(Nearness.REGION, 4, 1);
-        TargetEstimate far = target(Nearness.REMOTE, 0, 1);
+        TargetEstimate near = target(Proximity.REGION, 4, 1);
+        TargetEstimate far = target(Proximity.REMOTE, 0, 1);
 
         // when, then
         assertThat(choose(List.of(near, far), WORK).target()).isSameInstanceAs(near);
@@ -29,8 +29,8 @@
     @Test
     void should_cross_to_another_region_when_every_near_target_would_be_late() {
         // given
-        TargetEstimate near = target(Nearness.REGION, 90, 1);
-        TargetEstimate far = target(Nearness.REMOTE, 0, 1);
+        TargetEstimate near = target(Proximity.REGION, 90, 1);
+        TargetEstimate far = target(Proximity.REMOTE, 0, 1);
 
         // when, then
         assertThat(choose(List.of(near, far), WORK).target()).isSameInstanceAs(far);
@@ -39,12 +39,12 @@
     @Test
     void should_keep_large_answers_in_the_region_longer_than_small_ones() {
         // given
-        TargetEstimate near = target(Nearness.REGION, 45, 1);
-        TargetEstimate far = target(Nearness.REMOTE, 0, 1);
+        TargetEstimate near = target(Proximity.REGION, 45, 1);
+        TargetEstimate far = target(Proximity.REMOTE, 0, 1);
 
         // when
-        TargetEstimate small = choose(List.of(near, far), new WorkView(100, 800, 1)).target();
-        TargetEstimate large = choose(List.of(near, far), new WorkView(100, 800, 30)).target();
+        TargetEstimate small = choose(List.of(near, far), new CallProfile(100, 800, 1)).target();
+        TargetEstimate large = choose(List.of(near, far), new CallProfile(100, 800, 30)).target();
 
         // then
         assertThat(small).isSameInstanceAs(far);
@@ -56,14 +56,14 @@
         // given
         List<TargetEstimate> targets = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            targets.add(target(Nearness.DATA_CENTRE, 0, 1));
+            targets.add(target(Proximity.DATA_CENTRE, 0, 1));
         }
 
         // when
         Map<TargetEstimate, Integer> counts = new HashMap<>();
         for (int i = 0; i < 36; i++) {
             TargetEstimate chosen = choose(targets, WORK).target();
-            chosen.sent(NOW);
+            chosen.onSent(NOW);
             counts.merge(chosen, 1, Integer::sum);
         }
 
@@ -74,9 +74,9 @@
     @Test
     void should_count_a_slow_moment_no_more_than_the_wait_for_its_end() {
         // given
-        TargetEstimate slow = target(Nearness.DATA_CENTRE, 0, 5);
-        TargetEstimate far = target(Nearness.REMOTE, 0, 1);
-        WorkView longWork = new WorkView(300, 800, 2);
+        TargetEstimate slow = target(Proximity.DATA_CENTRE, 0, 5);
+        TargetEstimate far = target(Proximity.REMOTE, 0, 1);
+        CallProfile longWork = new CallProfile(300, 800, 2);
 
         // when, then
         assertThat(choose(List.of(slow, far), longWork).target()).isSameInstanceAs(slow);
@@ -85,19 +85,19 @@
     @Test
     void should_forget_a_slow_moment_as_its_report_ages() {
         // given
-        TargetEstimate target = target(Nearness.DATA_CENTRE, 0, 5);
+        TargetEstimate target = target(Proximity.DATA_CENTRE, 0, 5);
 
         // when, then
-        assertThat(target.momentarySlowness(NOW)).isGreaterThan(3.9);
-        assertThat(target.momentarySlowness(NOW + 500)).isLessThan(0.1);
+        assertThat(target.transientSlowness(NOW)).isGreaterThan(3.9);
+        assertThat(target.transientSlowness(NOW + 500)).isLessThan(0.1);
     }
 
     @Test
     void should_tell_how_much_later_the_best_target_may_start() {
         // given
-        TargetEstimate near = target(Nearness.DATA_CENTRE, 0, 1);
-        TargetEstimate other = target(Nearness.REGION, 0, 1);
-        TargetEstimate far = target(Nearness.REMOTE, 0, 1);
+        TargetEstimate near = target(Proximity.DATA_CENTRE, 0, 1);
+        TargetEstimate other = target(Proximity.REGION, 0, 1);
+        TargetEstimate far = target(Proximity.REMOTE, 0, 1);
 
         // when
         double toNeighbour = choose(List.of(near, other), WORK).spareMilliseconds();
@@ -111,9 +111,9 @@
     @Test
     void should_leave_a_target_whose_calls_are_overdue_before_any_answer_comes() {
         // given
-        TargetEstimate stuck = target(Nearness.DATA_CENTRE, 0, 1);
-        TargetEstimate other = target(Nearness.REGION, 3, 1);
-        stuck.sent(NOW - 3000);
+        TargetEstimate stuck = target(Proximity.DATA_CENTRE, 0, 1);
+        TargetEstimate other = target(Proximity.REGION, 3, 1);
+        stuck.onSent(NOW - 3000);
 
         // when, then
         assertThat(choose(List.of(stuck, other), WORK).target()).isSameInstanceAs(other);
@@ -126,13 +126,13 @@
     }
 
     private TargetChooser.Choice<TargetEstimate> choose(
-            List<TargetEstimate> candidates, WorkView work) {
+            List<TargetEstimate> candidates, CallProfile work) {
         return chooser.choose(candidates, Function.identity(), work, NOW);
     }
 
-    private static TargetEstimate target(Nearness nearness, int running, double slowness) {
+    private static TargetEstimate target(Proximity nearness, int running, double slowness) {
         TargetEstimate estimate = new TargetEstimate(nearness, 9, NOW);
-        estimate.hear(new LoadSnapshot(running, 0, 9, slowness, 1, 0), NOW);
+        estimate.onLoadReport(new LoadSnapshot(running, 0, 9, slowness, 1, 0), NOW);
         return estimate;
     }
 }
--- a/core/src/test/java/org/damaskmoor/core/quarantine/QuarantineTest.java
+++ b/core/src/test/java/org/damaskmoor/core/quarantine/QuarantineTest.java
@@ -31,15 +31,15 @@
     void should_hold_a_request_when_it_was_in_flight_at_two_upstreams_crashes() {
         // when
         crash(NODE_A, KILLER);
-        boolean afterOne = quarantine.holds(KILLER, now);
+        boolean afterOne = quarantine.isQuarantined(KILLER, now);
         crash(NODE_B, KILLER);
 
         // then
         assertThat(afterOne).isFalse();
-        assertThat(quarantine.holds(KILLER, now)).isTrue();
+        assertThat(quarantine.isQuarantined(KILLER, now)).isTrue();
         assertThat(quarantine.retryAfterMilliseconds(KILLER, now)).isEqualTo(60_000);
         now += 61 * SECOND;
-        assertThat(quarantine.holds(KILLER, now)).isFalse();
+        assertThat(quarantine.isQuarantined(KILLER, now)).isFalse();
     }
 
     @Test
@@ -49,7 +49,7 @@
         quarantine.onCrash(NODE_A, new Incarnation(2), List.of(KILLER), now);
 
         // then
-        assertThat(quarantine.holds(KILLER, now)).isFalse();
+        assertThat(quarantine.isQuarantined(KILLER, now)).isFalse();
     }
 
     @Test
@@ -62,7 +62,7 @@
         crash(NODE_B, KILLER);
 
         // then
-        assertThat(quarantine.holds(KILLER, now)).isFalse();
+        assertThat(quarantine.isQuarantined(KILLER, now)).isFalse();
     }
 
     @Test
@@ -80,7 +80,7 @@
         // then
         assertThat(news).isTrue();
         assertThat(again).isFalse();
-        assertThat(quarantine.holds(KILLER, now)).isTrue();
+        assertThat(quarantine.isQuarantined(KILLER, now)).isTrue();
         assertThat(quarantine.records(now)).hasSize(2);
     }
 
@@ -94,7 +94,7 @@
         // then
         assertThat(quarantine.records(now)).hasSize(1024);
         crash(NODE_B, new RequestFingerprint(4999));
-        assertThat(quarantine.holds(new RequestFingerprint(4999), now)).isTrue();
+        assertThat(quarantine.isQuarantined(new RequestFingerprint(4999), now)).isTrue();
     }
 
     @Test
@@ -137,7 +137,8 @@
             // then
             for (int value = 0; value < 4; value++) {
                 RequestFingerprint each = new RequestFingerprint(value);
-                assertThat(tested.holds(each, time)).isEqualTo(naiveHolds(crashes, each, time));
+                assertThat(tested.isQuarantined(each, time))
+                        .isEqualTo(naiveHolds(crashes, each, time));
             }
         }
     }
--- a/core/src/test/java/org/damaskmoor/core/waiting/WaitingRoomTest.java
+++ b/core/src/test/java/org/damaskmoor/core/queueing/AdmissionQueueTest.java
@@ -1,19 +1,19 @@
-package org.damaskmoor.core.waiting;
+package org.damaskmoor.core.queueing;
 
 import static com.google.common.truth.Truth.assertThat;
 
-import org.damaskmoor.core.waiting.Verdict.Kind;
+import org.damaskmoor.core.queueing.QueueDecision.Kind;
 import org.junit.jupiter.api.Test;
 
-class WaitingRoomTest {
+class AdmissionQueueTest {
     private static final double MUCH = 60_000;
 
-    private final WaitingRoom<String> room = new WaitingRoom<>();
+    private final AdmissionQueue<String> room = new AdmissionQueue<>();
 
     @Test
     void should_start_calls_up_to_the_limit_and_let_the_next_one_wait() {
         // given
-        room.limit(2);
+        room.setLimit(2);
 
         // when, then
         assertThat(offer("a", 1, 5000)).isEqualTo(Kind.START);
@@ -28,8 +28,8 @@
         offer("a", 1, 5000);
 
         // when
-        Verdict verdict =
-                room.offer(new WaitingCall<>("b", 1, 5000, 9000, 100, 20, false), 0, true, 0);
+        QueueDecision verdict =
+                room.offer(new QueuedCall<>("b", 1, 5000, 9000, 100, 20, false), 0, true, 0);
 
         // then
         assertThat(verdict.kind()).isEqualTo(Kind.SEND_BACK);
@@ -42,8 +42,8 @@
         offer("a", 1, 5000);
 
         // when
-        Verdict verdict =
-                room.offer(new WaitingCall<>("b", 1, 5000, 9000, 100, 0, true), 0, true, 0);
+        QueueDecision verdict =
+                room.offer(new QueuedCall<>("b", 1, 5000, 9000, 100, 0, true), 0, true, 0);
 
         // then
         assertThat(verdict.kind()).isEqualTo(Kind.WAIT);
@@ -55,7 +55,8 @@
         offer("a", 1, 5000);
 
         // when
-        Verdict verdict = room.offer(new WaitingCall<>("b", 1, 120, 150, 100, 0, true), 0, true, 0);
+        QueueDecision verdict =
+                room.offer(new QueuedCall<>("b", 1, 120, 150, 100, 0, true), 0, true, 0);
 
         // then
         assertThat(verdict.kind()).isEqualTo(Kind.SEND_BACK);
@@ -66,13 +67,13 @@
         // when, then
         assertThat(
                         room.offer(
-                                        new WaitingCall<>("a", 1, 5000, 9000, 100, MUCH, false),
+                                        new QueuedCall<>("a", 1, 5000, 9000, 100, MUCH, false),
                                         90,
                                         false,
                                         0)
                                 .kind())
                 .isEqualTo(Kind.WAIT);
-        assertThat(room.next(50)).isEqualTo("a");
+        assertThat(room.poll(50)).isEqualTo("a");
     }
 
     @Test
@@ -83,10 +84,10 @@
         offer("urgent", 0, 5000);
 
         // when
-        room.ended(100);
+        room.onAnswered(100);
 
         // then
-        assertThat(room.next(10)).isEqualTo("urgent");
+        assertThat(room.poll(10)).isEqualTo("urgent");
     }
 
     @Test
@@ -97,10 +98,10 @@
         offer("reaching", 1, 1000);
 
         // when
-        room.ended(100);
+        room.onAnswered(100);
 
         // then
-        assertThat(room.next(200)).isEqualTo("reaching");
+        assertThat(room.poll(200)).isEqualTo("reaching");
     }
 
     @Test
@@ -108,13 +109,13 @@
         // given
         offer("running", 1, 5000);
         offer("long", 1, 1000);
-        room.offer(new WaitingCall<>("short", 1, 20, 9000, 10, MUCH, true), 0, true, 0);
+        room.offer(new QueuedCall<>("short", 1, 20, 9000, 10, MUCH, true), 0, true, 0);
 
         // when
-        room.ended(100);
+        room.onAnswered(100);
 
         // then
-        assertThat(room.next(200)).isEqualTo("short");
+        assertThat(room.poll(200)).isEqualTo("short");
     }
 
     @Test
@@ -130,19 +131,19 @@
 
         // then
         assertThat(urgent).isEqualTo(Kind.WAIT);
-        assertThat(room.takeDisplaced()).containsExactly("low3");
-        assertThat(room.takeDisplaced()).isEmpty();
+        assertThat(room.drainDisplaced()).containsExactly("low3");
+        assertThat(room.drainDisplaced()).isEmpty();
     }
 
     @Test
     void should_take_out_what_can_no_longer_end_before_its_deadline() {
         // given
         offer("running", 1, 5000);
-        room.offer(new WaitingCall<>("soon", 1, 5000, 600, 100, MUCH, true), 0, true, 0);
+        room.offer(new QueuedCall<>("soon", 1, 5000, 600, 100, MUCH, true), 0, true, 0);
 
         // when, then
-        assertThat(room.hopeless(400)).isEmpty();
-        assertThat(room.hopeless(525)).containsExactly("soon");
+        assertThat(room.removeExpired(400)).isEmpty();
+        assertThat(room.removeExpired(525)).containsExactly("soon");
         assertThat(room.waiting()).isEqualTo(0);
     }
 
@@ -153,8 +154,8 @@
         offer("waiting", 1, 5000);
 
         // when
-        Verdict late =
-                room.offer(new WaitingCall<>("late", 1, 150, 90_000, 100, 0, true), 0, true, 0);
+        QueueDecision late =
+                room.offer(new QueuedCall<>("late", 1, 150, 90_000, 100, 0, true), 0, true, 0);
 
         // then
         assertThat(late.kind()).isEqualTo(Kind.SEND_BACK);
@@ -165,14 +166,16 @@
         // given
         for (int i = 0; i < 200; i++) {
             offer("urgent" + i, 0, 50_000);
-            room.takeAll();
-            room.ended(100);
+            room.drainAll();
+            room.onAnswered(100);
         }
         offer("running", 0, 50_000);
 
         // when
-        Verdict low = room.offer(new WaitingCall<>("low", 2, 550, 900, 100, 0, true), 0, true, 0);
-        Verdict high = room.offer(new WaitingCall<>("high", 0, 550, 900, 100, 0, true), 0, true, 0);
+        QueueDecision low =
+                room.offer(new QueuedCall<>("low", 2, 550, 900, 100, 0, true), 0, true, 0);
+        QueueDecision high =
+                room.offer(new QueuedCall<>("high", 0, 550, 900, 100, 0, true), 0, true, 0);
 
         // then
         assertThat(low.kind()).isEqualTo(Kind.SEND_BACK);
@@ -187,16 +190,16 @@
 
         // when
         boolean removed = room.remove("gone");
-        room.ended(100);
+        room.onAnswered(100);
 
         // then
         assertThat(removed).isTrue();
-        assertThat(room.next(10)).isNull();
+        assertThat(room.poll(10)).isNull();
     }
 
     private Kind offer(String name, int priority, long objectiveAt) {
         return room.offer(
-                        new WaitingCall<>(name, priority, objectiveAt, 90_000, 100, MUCH, true),
+                        new QueuedCall<>(name, priority, objectiveAt, 90_000, 100, MUCH, true),
                         0,
                         true,
                         0)
--- a/core/src/test/java/org/damaskmoor/core/waiting/SlowMomentsTest.java
+++ b/core/src/test/java/org/damaskmoor/core/queueing/SlowdownDetectorTest.java
@@ -1,46 +1,46 @@
-package org.damaskmoor.core.waiting;
+package org.damaskmoor.core.queueing;
 
 import static com.google.common.truth.Truth.assertThat;
 
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class SlowMomentsTest {
+class SlowdownDetectorTest {
     @Test
     void should_tell_a_moment_from_lasting_slowness() {
         // given
-        SlowMoments moments = new SlowMoments();
-        moments.hear(1, 0);
+        SlowdownDetector moments = new SlowdownDetector();
+        moments.onReading(1, 0);
 
         // when
-        moments.hear(5, 100);
+        moments.onReading(5, 100);
 
         // then
-        assertThat(moments.isSlow(150)).isTrue();
-        assertThat(moments.isSlow(600)).isFalse();
+        assertThat(moments.isInSlowdown(150)).isTrue();
+        assertThat(moments.isInSlowdown(600)).isFalse();
     }
 
     @Test
     void should_take_a_lasting_slowness_for_steady_once_the_best_is_long_ago() {
         // given
-        SlowMoments moments = new SlowMoments();
-        moments.hear(1, 0);
+        SlowdownDetector moments = new SlowdownDetector();
+        moments.onReading(1, 0);
 
         // when
         for (long now = 100; now < 4000; now += 100) {
-            moments.hear(5, now);
+            moments.onReading(5, now);
         }
 
         // then
-        assertThat(moments.steady()).isEqualTo(5.0);
-        assertThat(moments.isSlow(4000)).isFalse();
+        assertThat(moments.baseline()).isEqualTo(5.0);
+        assertThat(moments.isInSlowdown(4000)).isFalse();
     }
 
     @Test
     void should_not_take_an_old_reading_for_fresh() {
         // given
-        SlowMoments moments = new SlowMoments();
-        moments.hear(1, 0);
+        SlowdownDetector moments = new SlowdownDetector();
+        moments.onReading(1, 0);
 
         // when, then
         assertThat(moments.isFresh(5)).isTrue();
@@ -50,9 +50,9 @@
     @Test
     void should_delay_by_no_more_than_the_wait_for_the_end_of_a_moment() {
         // given
-        SlowMoments moments = new SlowMoments();
-        moments.hear(1, 0);
-        moments.hear(5, 10);
+        SlowdownDetector moments = new SlowdownDetector();
+        moments.onReading(1, 0);
+        moments.onReading(5, 10);
 
         // when, then
         assertThat(moments.delayMilliseconds(1000, 1, 10)).isLessThan(200.0);
@@ -75,17 +75,17 @@
         double atOnce = 0;
         double withMoments = 0;
         int calls = 2000;
-        SlowMoments moments = new SlowMoments();
+        SlowdownDetector moments = new SlowdownDetector();
 
         // when
         for (int call = 0; call < calls; call++) {
             long arrival = 200L * call;
             atOnce += work * slowness[(int) (arrival / 150)];
             long start = arrival;
-            moments.hear(slowness[(int) (start / 150)], start);
-            while (moments.isSlow(start)) {
+            moments.onReading(slowness[(int) (start / 150)], start);
+            while (moments.isInSlowdown(start)) {
                 start += 20;
-                moments.hear(slowness[(int) (start / 150)], start);
+                moments.onReading(slowness[(int) (start / 150)], start);
             }
             withMoments += start - arrival + work * slowness[(int) (start / 150)];
         }
--- a/core/src/test/java/org/damaskmoor/core/retry/FleetRetryBudgetTest.java
+++ b/core/src/test/java/org/damaskmoor/core/retry/FleetRetryBudgetTest.java
@@ -22,7 +22,7 @@
             for (FleetRetryBudget budget : budgets) {
                 budget.onRequest(now);
                 requests++;
-                repeats += budget.tryTake(NODES, now) ? 1 : 0;
+                repeats += budget.tryAcquire(NODES, now) ? 1 : 0;
             }
         }
 
@@ -35,13 +35,13 @@
     void should_allow_attempts_again_after_the_window() {
         // given
         FleetRetryBudget budget = new FleetRetryBudget(0, 10, 1000);
-        while (budget.tryTake(1, 0)) {
+        while (budget.tryAcquire(1, 0)) {
             // spends all
         }
 
         // when, then
-        assertThat(budget.tryTake(1, 500)).isFalse();
-        assertThat(budget.tryTake(1, 1001)).isTrue();
+        assertThat(budget.tryAcquire(1, 500)).isFalse();
+        assertThat(budget.tryAcquire(1, 1001)).isTrue();
     }
 
     @Test
@@ -50,6 +50,6 @@
         FleetRetryBudget budget = new FleetRetryBudget(0, 64, 1000);
 
         // when, then
-        assertThat(budget.tryTake(2800, 0)).isFalse();
+        assertThat(budget.tryAcquire(2800, 0)).isFalse();
     }
 }
--- a/core/src/test/java/org/damaskmoor/core/retry/RetryTest.java
+++ b/core/src/test/java/org/damaskmoor/core/retry/RetryTest.java
@@ -33,7 +33,7 @@
             if (random.nextInt(3) == 0) {
                 budget.onRequest(now);
                 requests++;
-            } else if (budget.tryTake(now)) {
+            } else if (budget.tryAcquire(now)) {
                 retries++;
             }
 
@@ -53,7 +53,7 @@
         for (int i = 0; i < 10_000; i++) {
             long now = i * MILLISECOND;
             budget.onRequest(now);
-            retries += budget.tryTake(now) ? 1 : 0;
+            retries += budget.tryAcquire(now) ? 1 : 0;
         }
 
         // then
@@ -67,24 +67,29 @@
         RefusalReason reason = RefusalReason.OVERLOADED;
 
         // then
-        assertThat(RetryRules.afterRefusal(reason, false, 1, AMPLE)).isTrue();
-        assertThat(RetryRules.afterRefusal(reason, true, 1, AMPLE)).isFalse();
-        assertThat(RetryRules.afterRefusal(reason, false, 3, AMPLE)).isFalse();
+        assertThat(RetryRules.canRetryAfterRefusal(reason, false, 1, AMPLE)).isTrue();
+        assertThat(RetryRules.canRetryAfterRefusal(reason, true, 1, AMPLE)).isFalse();
+        assertThat(RetryRules.canRetryAfterRefusal(reason, false, 3, AMPLE)).isFalse();
     }
 
     @Test
     void should_not_retry_what_another_target_would_refuse_too() {
-        assertThat(RetryRules.afterRefusal(RefusalReason.QUARANTINED, false, 1, AMPLE)).isFalse();
-        assertThat(RetryRules.afterRefusal(RefusalReason.NOT_ALLOWED, false, 1, AMPLE)).isFalse();
-        assertThat(RetryRules.afterRefusal(RefusalReason.CALLER_OVER_SHARE, false, 1, AMPLE))
+        assertThat(RetryRules.canRetryAfterRefusal(RefusalReason.QUARANTINED, false, 1, AMPLE))
+                .isFalse();
+        assertThat(RetryRules.canRetryAfterRefusal(RefusalReason.NOT_ALLOWED, false, 1, AMPLE))
+                .isFalse();
+        assertThat(
+                        RetryRules.canRetryAfterRefusal(
+                                RefusalReason.CALLER_OVER_SHARE, false, 1, AMPLE))
                 .isFalse();
     }
 
     @Test
     void should_never_send_again_what_is_not_idempotent_and_may_have_run() {
-        assertThat(RetryRules.afterFailure(true, 1, AMPLE)).isFalse();
-        assertThat(RetryRules.afterFailure(false, 1, AMPLE)).isTrue();
-        assertThat(RetryRules.afterFailure(false, 1, new DeadlineBudget(999_999))).isFalse();
+        assertThat(RetryRules.canRetryAfterFailure(true, 1, AMPLE)).isFalse();
+        assertThat(RetryRules.canRetryAfterFailure(false, 1, AMPLE)).isTrue();
+        assertThat(RetryRules.canRetryAfterFailure(false, 1, new DeadlineBudget(999_999)))
+                .isFalse();
     }
 
     @Test
@@ -97,8 +102,8 @@
 
         // then
         assertThat(next.toMilliseconds()).isEqualTo(9);
-        assertThat(next.minus(20 * MILLISECOND).spent()).isTrue();
-        assertThat(DeadlineBudget.until(5, Long.MAX_VALUE).spent()).isTrue();
+        assertThat(next.minus(20 * MILLISECOND).isExhausted()).isTrue();
+        assertThat(DeadlineBudget.until(5, Long.MAX_VALUE).isExhausted()).isTrue();
     }
 
     @Property(seed = "1")
@@ -144,7 +149,7 @@
         HedgePolicy hedging = new HedgePolicy(95, budget, 0);
 
         // when
-        while (budget.tryTake(0)) {
+        while (budget.tryAcquire(0)) {
             // use it up
         }
 
@@ -164,13 +169,13 @@
             hedges++;
         }
         int retries = 0;
-        while (budget.tryTake(0)) {
+        while (budget.tryAcquire(0)) {
             retries++;
         }
 
         // then
         assertThat(hedges).isEqualTo(10);
         assertThat(retries).isEqualTo(10);
-        assertThat(RetryBudget.none().tryTake(100 * SECOND)).isFalse();
+        assertThat(RetryBudget.none().tryAcquire(100 * SECOND)).isFalse();
     }
 }
--- a/core/src/test/java/org/damaskmoor/core/routes/RouteTableTest.java
+++ b/core/src/test/java/org/damaskmoor/core/routetable/RouteTableTest.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.core.routes;
+package org.damaskmoor.core.routetable;
 
 import static com.google.common.truth.Truth.assertThat;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -64,8 +64,9 @@
     void should_divide_requests_close_to_the_weights_in_every_run() {
         // given
         ServiceName rare = new ServiceName("rare");
-        WeightedTurns turns =
-                new WeightedTurns(List.of(new RoutePart(BOOKS, 90), new RoutePart(rare, 10)), 7);
+        SmoothWeightedRoundRobin turns =
+                new SmoothWeightedRoundRobin(
+                        List.of(new WeightedService(BOOKS, 90), new WeightedService(rare, 10)), 7);
 
         // when
         Map<ServiceName, Integer> counts = new HashMap<>();
@@ -81,8 +82,9 @@
     void should_never_take_a_part_without_weight() {
         // given
         ServiceName none = new ServiceName("none");
-        WeightedTurns turns =
-                new WeightedTurns(List.of(new RoutePart(none, 0), new RoutePart(BOOKS, 3)), 1);
+        SmoothWeightedRoundRobin turns =
+                new SmoothWeightedRoundRobin(
+                        List.of(new WeightedService(none, 0), new WeightedService(BOOKS, 3)), 1);
 
         // when, then
         for (int i = 0; i < 20; i++) {
@@ -94,7 +96,7 @@
         return new RouteTable(
                 1,
                 List.of(routes),
-                List.of(new ServiceEntry(BOOKS, "/healthz", 10)),
+                List.of(new ServiceDefinition(BOOKS, "/healthz", 10)),
                 CallerLimits.UNCONFIGURED);
     }
 
@@ -107,7 +109,7 @@
                 1000,
                 500,
                 0,
-                List.of(new RoutePart(BOOKS, 1)),
+                List.of(new WeightedService(BOOKS, 1)),
                 2);
     }
 }
--- a/core/src/test/java/org/damaskmoor/core/routing/RouterDifferentialTest.java
+++ b/core/src/test/java/org/damaskmoor/core/routing/RouterDifferentialTest.java
@@ -70,7 +70,7 @@
             }
 
             // then
-            CandidateWeight weight = fixture.router.explain(fixture.now).get(0);
+            CandidateEstimate weight = fixture.router.explain(fixture.now).get(0);
             assertThat(weight.expectedLoad()).isEqualTo((double) sent.size());
             assertThat(weight.expectedNanoseconds()).isEqualTo(naiveCost(sent, fixture.now));
         }
--- a/core/src/test/java/org/damaskmoor/core/routing/RouterFixture.java
+++ b/core/src/test/java/org/damaskmoor/core/routing/RouterFixture.java
@@ -24,7 +24,7 @@
     static final DataCentreName SOUTH = new DataCentreName("bern-sued");
     static final DataCentreName SPIEZ = new DataCentreName("spiez");
     static final long MILLISECOND = TimeUnit.MILLISECONDS.toNanos(1);
-    static final RequestView REQUEST = new RequestView(false, 5000 * MILLISECOND);
+    static final RoutingRequest REQUEST = new RoutingRequest(false, 5000 * MILLISECOND);
 
     final Router router;
     long now = Long.MAX_VALUE - 7;
--- a/core/src/test/java/org/damaskmoor/core/routing/RouterTest.java
+++ b/core/src/test/java/org/damaskmoor/core/routing/RouterTest.java
@@ -53,7 +53,7 @@
         // given
         List<Target> targets = near(4);
         router.updateTargets(targets, fixture.now);
-        targets.forEach(target -> router.onLoadHeard(target.id(), load(1, 5), fixture.now));
+        targets.forEach(target -> router.onLoadReport(target.id(), load(1, 5), fixture.now));
         targets.forEach(target -> router.onSent(target.id(), fixture.now));
 
         // when
@@ -104,7 +104,7 @@
 
         // then
         double ejected = 0;
-        for (CandidateWeight weight : router.explain(fixture.now)) {
+        for (CandidateEstimate weight : router.explain(fixture.now)) {
             ejected += 1 - weight.share();
         }
         double most = targets.size() * RoutingOptions.DEFAULT.ejectedPercent() / 100.0;
@@ -117,16 +117,16 @@
         // given
         List<Target> targets = near(2);
         router.updateTargets(targets, fixture.now);
-        router.onLoadHeard(targets.get(0).id(), load(0, 5), fixture.now);
+        router.onLoadReport(targets.get(0).id(), load(0, 5), fixture.now);
         fixture.advance(60_000);
 
         // when
         for (int i = 0; i < 200; i++) {
-            router.onLoadHeard(targets.get(1).id(), load(8, 5), fixture.now);
+            router.onLoadReport(targets.get(1).id(), load(8, 5), fixture.now);
         }
 
         // then
-        for (CandidateWeight weight : router.explain(fixture.now)) {
+        for (CandidateEstimate weight : router.explain(fixture.now)) {
             assertThat(weight.expectedLoad()).isWithin(0.5).of(8);
         }
     }
@@ -146,14 +146,14 @@
         router.updateTargets(List.of(returned, targets.get(1)), fixture.now);
 
         // when
-        router.onLoadHeard(returned.id(), load(0, 5), fixture.now);
-        router.onLoadHeard(targets.get(1).id(), load(5, 5), fixture.now);
+        router.onLoadReport(returned.id(), load(0, 5), fixture.now);
+        router.onLoadReport(targets.get(1).id(), load(5, 5), fixture.now);
 
         // then
         assertThat(fixture.shares(CHOICES)).doesNotContainKey(returned);
         fixture.advance(11_000);
-        router.onLoadHeard(returned.id(), load(0, 5), fixture.now);
-        router.onLoadHeard(targets.get(1).id(), load(5, 5), fixture.now);
+        router.onLoadReport(returned.id(), load(0, 5), fixture.now);
+        router.onLoadReport(targets.get(1).id(), load(5, 5), fixture.now);
         assertThat(fixture.shares(CHOICES)).doesNotContainKey(targets.get(1));
     }
 
@@ -166,7 +166,7 @@
         // when
         fixture.advance(2000);
         router.updateTargets(targets, fixture.now);
-        targets.forEach(target -> router.onLoadHeard(target.id(), load(8, 5), fixture.now));
+        targets.forEach(target -> router.onLoadReport(target.id(), load(8, 5), fixture.now));
 
         // then
         assertThat(fixture.shares(CHOICES).get(targets.get(3))).isGreaterThan(CHOICES / 8);
@@ -180,7 +180,7 @@
 
         // when
         router.onSent(former, fixture.now);
-        router.onLoadHeard(former, load(9, 5), fixture.now);
+        router.onLoadReport(former, load(9, 5), fixture.now);
 
         // then
         assertThat(router.explain(fixture.now).get(0).expectedLoad()).isEqualTo(0);
@@ -194,10 +194,10 @@
         router.updateTargets(List.of(north, south), fixture.now);
 
         // when
-        router.onLoadHeard(north.id(), load(1, 5), fixture.now);
-        router.onLoadHeard(south.id(), load(0, 5), fixture.now);
+        router.onLoadReport(north.id(), load(1, 5), fixture.now);
+        router.onLoadReport(south.id(), load(0, 5), fixture.now);
         Map<Target, Integer> calm = fixture.shares(CHOICES);
-        router.onLoadHeard(north.id(), load(16, 5), fixture.now);
+        router.onLoadReport(north.id(), load(16, 5), fixture.now);
         Map<Target, Integer> busy = fixture.shares(CHOICES);
 
         // then
@@ -210,15 +210,15 @@
         // given
         Target home = near("a");
         router.updateTargets(List.of(home, far("z")), fixture.now);
-        router.onSummaryHeard(
+        router.onRegionSummary(
                 new RegionSummary(new ServiceName("besuch"), FAR, 1, 0, 10, 5000), fixture.now);
 
         // when
         Map<Target, Integer> calm = sharesAtLoad(home, 9);
         Map<Target, Integer> full = sharesAtLoad(home, 300);
-        boolean goneWhenFull = router.regionHeadroomGone();
+        boolean goneWhenFull = router.isRegionHeadroomExhausted();
         sharesAtLoad(home, 8);
-        boolean goneInBetween = router.regionHeadroomGone();
+        boolean goneInBetween = router.isRegionHeadroomExhausted();
         Map<Target, Integer> back = sharesAtLoad(home, 2);
 
         // then
@@ -235,7 +235,8 @@
         router.updateTargets(List.of(far("z")), fixture.now);
 
         // when
-        var choice = router.choose(new RequestView(false, 50 * MILLISECOND), Set.of(), fixture.now);
+        var choice =
+                router.choose(new RoutingRequest(false, 50 * MILLISECOND), Set.of(), fixture.now);
 
         // then
         assertThat(choice).isEqualTo(Optional.empty());
@@ -270,7 +271,7 @@
 
         // when
         for (int i = 0; i < 20; i++) {
-            targets.forEach(target -> router.onLoadHeard(target.id(), load(20, 5), fixture.now));
+            targets.forEach(target -> router.onLoadReport(target.id(), load(20, 5), fixture.now));
             router.onRefused(targets.get(0).id(), 0, RefusalReason.OVERLOADED, idle, fixture.now);
         }
 
@@ -279,7 +280,7 @@
         fixture.advance(10_000);
         Target busy = targets.get(1);
         router.updateTargets(targets.subList(0, 2), fixture.now);
-        router.onLoadHeard(busy.id(), load(30, 5), fixture.now);
+        router.onLoadReport(busy.id(), load(30, 5), fixture.now);
         assertThat(fixture.shares(CHOICES)).doesNotContainKey(busy);
     }
 
@@ -291,9 +292,9 @@
         LoadReport leaving = load(0, 5).toBuilder().setState(UpstreamState.LEAVING).build();
 
         // when
-        router.onLoadHeard(target.id(), leaving, fixture.now);
+        router.onLoadReport(target.id(), leaving, fixture.now);
         boolean whileLeaving = fixture.choose().isPresent();
-        router.onLoadHeard(target.id(), load(0, 5), fixture.now);
+        router.onLoadReport(target.id(), load(0, 5), fixture.now);
 
         // then
         assertThat(whileLeaving).isFalse();
@@ -309,8 +310,8 @@
 
         // when
         fixture.advance(4000);
-        router.onLoadHeard(targets.get(0).id(), load(1, 5), fixture.now);
-        router.onLoadHeard(targets.get(1).id(), load(100, 5), fixture.now);
+        router.onLoadReport(targets.get(0).id(), load(1, 5), fixture.now);
+        router.onLoadReport(targets.get(1).id(), load(100, 5), fixture.now);
 
         // then
         assertThat(fixture.shares(CHOICES)).doesNotContainKey(targets.get(1));
@@ -334,7 +335,7 @@
 
     private Map<Target, Integer> sharesAtLoad(Target target, int inFlight) {
         fixture.advance(100);
-        router.onLoadHeard(target.id(), load(inFlight, 5), fixture.now);
+        router.onLoadReport(target.id(), load(inFlight, 5), fixture.now);
         return fixture.shares(CHOICES);
     }
 
--- a/core/src/test/java/org/damaskmoor/core/routing/TailLatencyTest.java
+++ b/core/src/test/java/org/damaskmoor/core/routing/TailLatencyTest.java
@@ -56,7 +56,7 @@
     private record Ratios(double at99, double at999) {}
 
     private static Ratios ratios(FakeUpstreams.Slowness slowness) {
-        long[] baseline = run(ChoicePolicies.twoChoices(), WITHOUT_EJECTION, 0, slowness);
+        long[] baseline = run(ChoicePolicies.powerOfTwoChoices(), WITHOUT_EJECTION, 0, slowness);
         long[] product = run(PRODUCT, RoutingOptions.DEFAULT, HEDGE_PERCENTILE, slowness);
         return new Ratios(
                 (double) quantile(product, 0.99) / quantile(baseline, 0.99),
--- a/core/src/test/java/org/damaskmoor/core/settings/SettingsPageTest.java
+++ b/core/src/test/java/org/damaskmoor/core/settings/SettingsDocumentationTest.java
@@ -13,10 +13,10 @@
 import org.damaskmoor.schema.settings.SettingsProto;
 import org.junit.jupiter.api.Test;
 
-class SettingsPageTest {
+class SettingsDocumentationTest {
     private final String page;
 
-    SettingsPageTest() throws IOException {
+    SettingsDocumentationTest() throws IOException {
         page = Files.readString(Path.of("..", "docs", "SETTINGS.md"));
     }
 
--- a/mesh/src/main/java/org/damaskmoor/mesh/MeshSettings.java
+++ b/mesh/src/main/java/org/damaskmoor/mesh/MeshSettings.java
@@ -26,4 +26,4 @@
         int ringMessages,
         Duration connectTimeout,
         Duration silenceTimeout,
-        Optional<MeshSecurity> security) {}
+        Optional<MeshTls> security) {}
--- a/mesh/src/main/java/org/damaskmoor/mesh/MeshSecurity.java
+++ b/mesh/src/main/java/org/damaskmoor/mesh/MeshTls.java
@@ -8,4 +8,4 @@
  * @param server used for connections that other nodes open
  * @param client used for connections that this node opens
  */
-public record MeshSecurity(SslContext server, SslContext client) {}
+public record MeshTls(SslContext server, SslContext client) {}
--- a/mesh/src/main/java/org/damaskmoor/mesh/NettyMeshTransport.java
+++ b/mesh/src/main/java/org/damaskmoor/mesh/NettyMeshTransport.java
@@ -79,7 +79,7 @@
                         .childOption(ChannelOption.TCP_NODELAY, true)
                         .childOption(
                                 ChannelOption.WRITE_BUFFER_WATER_MARK, LinkInitializer.UNSENT_BYTES)
-                        .childHandler(initializer.forAccepted())
+                        .childHandler(initializer.forInbound())
                         .bind(settings.listenAddress());
         bound.addListener(
                 done -> {
--- a/mesh/src/main/java/org/damaskmoor/mesh/gossip/GossipReader.java
+++ b/mesh/src/main/java/org/damaskmoor/mesh/gossip/GossipInboundHandler.java
@@ -11,11 +11,11 @@
  * Reads datagrams and hands them on; a faulty one does not close the channel. Confined to the
  * channel's event loop.
  */
-final class GossipReader extends SimpleChannelInboundHandler<DatagramPacket> {
+final class GossipInboundHandler extends SimpleChannelInboundHandler<DatagramPacket> {
     private final GossipListener listener;
     private final GossipTraffic traffic;
 
-    GossipReader(GossipListener listener, GossipTraffic traffic) {
+    GossipInboundHandler(GossipListener listener, GossipTraffic traffic) {
         this.listener = listener;
         this.traffic = traffic;
     }
--- a/mesh/src/main/java/org/damaskmoor/mesh/gossip/GossipTransport.java
+++ b/mesh/src/main/java/org/damaskmoor/mesh/gossip/GossipTransport.java
@@ -75,7 +75,8 @@
                             @Override
                             protected void initChannel(Channel created) {
                                 customizer.customize(created, null);
-                                created.pipeline().addLast(new GossipReader(listener, traffic));
+                                created.pipeline()
+                                        .addLast(new GossipInboundHandler(listener, traffic));
                             }
                         });
     }
--- a/mesh/src/main/java/org/damaskmoor/mesh/internal/LinkHandler.java
+++ b/mesh/src/main/java/org/damaskmoor/mesh/internal/LinkHandler.java
@@ -57,11 +57,11 @@
         this.onGone = onGone;
     }
 
-    static LinkHandler accepted(MeshFrame hello, MeshListener listener) {
+    static LinkHandler inbound(MeshFrame hello, MeshListener listener) {
         return new LinkHandler(hello, null, listener, 0, (closed, cause) -> {});
     }
 
-    static LinkHandler opened(
+    static LinkHandler outbound(
             MeshFrame hello,
             NodeId expectedPeer,
             MeshListener listener,
@@ -76,7 +76,7 @@
     }
 
     /** When something was heard last, or the connection was opened. Event loop only. */
-    long lastHeardNanoseconds() {
+    long lastReceivedNanoseconds() {
         return lastHeardNanoseconds;
     }
 
--- a/mesh/src/main/java/org/damaskmoor/mesh/internal/LinkInitializer.java
+++ b/mesh/src/main/java/org/damaskmoor/mesh/internal/LinkInitializer.java
@@ -42,18 +42,18 @@
     }
 
     /** For connections that other nodes open to this one. */
-    public ChannelInitializer<Channel> forAccepted() {
+    public ChannelInitializer<Channel> forInbound() {
         return initializer(
                 channel -> {
                     InetSocketAddress remote = (InetSocketAddress) channel.remoteAddress();
                     customizer.customize(channel, remote);
                     settings.security().ifPresent(security -> addTls(channel, security.server()));
-                    addCodec(channel, LinkHandler.accepted(hello(), listener));
+                    addCodec(channel, LinkHandler.inbound(hello(), listener));
                 });
     }
 
     /** For a connection that this node opens to the peer; {@code onGone} runs when it is closed. */
-    public ChannelInitializer<Channel> forOpened(
+    public ChannelInitializer<Channel> forOutbound(
             NodeId peer, InetSocketAddress remote, BiConsumer<Channel, Throwable> onGone) {
         return initializer(
                 channel -> {
@@ -62,7 +62,7 @@
                     long silenceMilliseconds = settings.silenceTimeout().toMillis();
                     addCodec(
                             channel,
-                            LinkHandler.opened(
+                            LinkHandler.outbound(
                                     hello(), peer, listener, silenceMilliseconds, onGone));
                 });
     }
--- a/mesh/src/main/java/org/damaskmoor/mesh/internal/PeerLinks.java
+++ b/mesh/src/main/java/org/damaskmoor/mesh/internal/PeerLinks.java
@@ -87,7 +87,7 @@
             return false;
         }
         return aliveAfterNanoseconds == ANY_CONNECTION
-                || LinkHandler.of(current).lastHeardNanoseconds() - aliveAfterNanoseconds > 0;
+                || LinkHandler.of(current).lastReceivedNanoseconds() - aliveAfterNanoseconds > 0;
     }
 
     private void open(InetSocketAddress address) {
@@ -100,7 +100,7 @@
                         .option(
                                 ChannelOption.CONNECT_TIMEOUT_MILLIS,
                                 (int) settings.connectTimeout().toMillis())
-                        .handler(initializer.forOpened(peer, address, this::onGone))
+                        .handler(initializer.forOutbound(peer, address, this::onGone))
                         .connect(address);
         opening.addListener(done -> loop.execute(() -> onOpened((ChannelFuture) done)));
     }
--- a/node/src/main/java/org/damaskmoor/node/PresenceListener.java
+++ b/node/src/main/java/org/damaskmoor/node/MembershipEventForwarder.java
@@ -2,26 +2,26 @@
 
 import com.google.common.flogger.FluentLogger;
 import org.damaskmoor.core.id.NodeId;
-import org.damaskmoor.node.internal.accounting.AccountingDuty;
-import org.damaskmoor.node.internal.configuration.ConfigurationDuty;
-import org.damaskmoor.node.internal.entry.EntryDuty;
-import org.damaskmoor.node.internal.members.MembershipDuty;
+import org.damaskmoor.node.internal.accounting.AccountingManager;
+import org.damaskmoor.node.internal.configuration.ConfigurationManager;
+import org.damaskmoor.node.internal.entry.EntryProxy;
+import org.damaskmoor.node.internal.members.MembershipManager;
 import org.damaskmoor.schema.gossip.MemberRecord;
 
 /** Passes on what membership finds to the other duties. Called on the control event loop. */
-final class PresenceListener implements MembershipDuty.MembershipListener {
+final class MembershipEventForwarder implements MembershipManager.MembershipListener {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
     private final NodeId self;
-    private final EntryDuty entry;
-    private final AccountingDuty accounting;
-    private final ConfigurationDuty configuration;
+    private final EntryProxy entry;
+    private final AccountingManager accounting;
+    private final ConfigurationManager configuration;
 
-    PresenceListener(
+    MembershipEventForwarder(
             NodeId self,
-            EntryDuty entry,
-            AccountingDuty accounting,
-            ConfigurationDuty configuration) {
+            EntryProxy entry,
+            AccountingManager accounting,
+            ConfigurationManager configuration) {
         this.self = self;
         this.entry = entry;
         this.accounting = accounting;
@@ -30,17 +30,17 @@
 
     @Override
     public void onPublished() {
-        entry.onMembers();
+        entry.onMembersChanged();
     }
 
     @Override
     public void onPresent(MemberRecord member) {
-        accounting.onPresent(member);
+        accounting.onMemberPresent(member);
     }
 
     @Override
     public void onGone(MemberRecord member) {
-        accounting.onGone(member);
+        accounting.onMemberGone(member);
         configuration.forget(new NodeId(member.getNodeId()));
     }
 
--- a/node/src/main/java/org/damaskmoor/node/NodeCommand.java
+++ b/node/src/main/java/org/damaskmoor/node/NodeCommand.java
@@ -30,7 +30,7 @@
     @AirlineModule private HelpOption<NodeCommand> help;
 
     /** Shows the help if it was asked for. */
-    boolean showedHelp() {
+    boolean showHelpIfRequested() {
         return help.showHelpIfRequested();
     }
 
--- a/node/src/main/java/org/damaskmoor/node/NodeMain.java
+++ b/node/src/main/java/org/damaskmoor/node/NodeMain.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.CountDownLatch;
 import org.damaskmoor.core.settings.SettingsException;
 import org.damaskmoor.mesh.ChannelCustomizer;
-import org.damaskmoor.node.internal.security.NodeSecurity;
+import org.damaskmoor.node.internal.security.NodeTls;
 import org.damaskmoor.schema.settings.NodeSettings;
 
 /** Entry point of the binary damaskmoor-node. */
@@ -25,14 +25,14 @@
     /** Runs a node until it is told to stop; returns the exit code. */
     public static int run(String[] arguments, ChannelCustomizer customizer) {
         NodeSettings settings;
-        Optional<NodeSecurity> security;
+        Optional<NodeTls> security;
         try {
             NodeCommand command = SingleCommand.singleCommand(NodeCommand.class).parse(arguments);
-            if (command.showedHelp()) {
+            if (command.showHelpIfRequested()) {
                 return EXIT_PLANNED_STOP;
             }
             settings = command.settings(System.getenv());
-            security = NodeSecurity.read(settings);
+            security = NodeTls.read(settings);
         } catch (SettingsException | ParseException unusable) {
             System.err.println(unusable.getMessage());
             return EXIT_BAD_SETTING;
--- a/node/src/main/java/org/damaskmoor/node/NodeProcess.java
+++ b/node/src/main/java/org/damaskmoor/node/NodeProcess.java
@@ -17,37 +17,37 @@
 import org.damaskmoor.mesh.MeshLink;
 import org.damaskmoor.mesh.NettyMeshTransport;
 import org.damaskmoor.mesh.gossip.GossipTransport;
-import org.damaskmoor.node.internal.NodeParameters;
-import org.damaskmoor.node.internal.accounting.AccountingDuty;
+import org.damaskmoor.node.internal.ComponentSettings;
 import org.damaskmoor.node.internal.accounting.AccountingFactory;
-import org.damaskmoor.node.internal.accounting.ServiceLevelOutcomes;
-import org.damaskmoor.node.internal.claims.TableClaims;
-import org.damaskmoor.node.internal.configuration.ConfigurationDuty;
+import org.damaskmoor.node.internal.accounting.AccountingManager;
+import org.damaskmoor.node.internal.accounting.ServiceLevelRecorder;
+import org.damaskmoor.node.internal.claims.TableClaimService;
+import org.damaskmoor.node.internal.configuration.ConfigurationManager;
 import org.damaskmoor.node.internal.control.ControlServer;
-import org.damaskmoor.node.internal.duty.DutyLoop;
-import org.damaskmoor.node.internal.entry.EntryDuty;
-import org.damaskmoor.node.internal.entry.EntryParts;
-import org.damaskmoor.node.internal.entry.MeshCarrier;
+import org.damaskmoor.node.internal.entry.EntryDependencies;
+import org.damaskmoor.node.internal.entry.EntryProxy;
+import org.damaskmoor.node.internal.entry.MeshFrameSender;
 import org.damaskmoor.node.internal.entry.ServiceRuntimes;
-import org.damaskmoor.node.internal.load.LoadMeasuring;
-import org.damaskmoor.node.internal.members.JoinPoints;
+import org.damaskmoor.node.internal.eventloop.EventLoopThread;
+import org.damaskmoor.node.internal.load.LoadMeasurementFactory;
 import org.damaskmoor.node.internal.members.MemberDirectory;
-import org.damaskmoor.node.internal.members.MembershipDuty;
-import org.damaskmoor.node.internal.mesh.FrameReceivers;
+import org.damaskmoor.node.internal.members.MembershipManager;
+import org.damaskmoor.node.internal.members.SeedNodeRegistry;
+import org.damaskmoor.node.internal.mesh.FrameHandlers;
 import org.damaskmoor.node.internal.mesh.FrameRouter;
-import org.damaskmoor.node.internal.mesh.SelfLink;
-import org.damaskmoor.node.internal.metrics.MetricsText;
+import org.damaskmoor.node.internal.mesh.LoopbackLink;
+import org.damaskmoor.node.internal.metrics.MetricsFormatter;
 import org.damaskmoor.node.internal.metrics.NodeGauges;
 import org.damaskmoor.node.internal.metrics.NodeMetric;
 import org.damaskmoor.node.internal.metrics.NodeMetrics;
-import org.damaskmoor.node.internal.operator.OperatorParts;
+import org.damaskmoor.node.internal.operator.OperatorDependencies;
 import org.damaskmoor.node.internal.operator.OperatorServer;
-import org.damaskmoor.node.internal.security.NodeSecurity;
-import org.damaskmoor.node.internal.stop.PlannedStop;
-import org.damaskmoor.node.internal.stop.StopSteps;
-import org.damaskmoor.node.internal.target.CrashWatch;
-import org.damaskmoor.node.internal.target.TargetDuty;
-import org.damaskmoor.node.internal.target.TargetDuty.UpstreamStatus;
+import org.damaskmoor.node.internal.security.NodeTls;
+import org.damaskmoor.node.internal.shutdown.GracefulShutdown;
+import org.damaskmoor.node.internal.shutdown.ShutdownSteps;
+import org.damaskmoor.node.internal.target.CrashDetector;
+import org.damaskmoor.node.internal.target.TargetProxy;
+import org.damaskmoor.node.internal.target.TargetProxy.UpstreamStatus;
 import org.damaskmoor.platform.PlatformClient;
 import org.damaskmoor.platform.PlatformClientLimits;
 import org.damaskmoor.platform.PlatformServiceTable;
@@ -67,31 +67,30 @@
  * node.stop().join();
  * }</pre>
  *
- * <p>Thread-safe. Invariant: each duty has one thread; duties hand messages to one another through
- * bounded rings.
+ * <p>Thread-safe. Each duty has one thread; duties exchange messages through bounded rings.
  */
 public final class NodeProcess {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
     private final NodeSettings settings;
-    private final NodeParameters parameters;
+    private final ComponentSettings parameters;
     private final NodeId self;
-    private final DutyLoop callerLoop = new DutyLoop("callers");
-    private final DutyLoop upstreamLoop = new DutyLoop("upstream");
-    private final DutyLoop controlLoop = new DutyLoop("control");
-    private final DutyLoop accountingLoop = new DutyLoop("accounting");
+    private final EventLoopThread callerLoop = new EventLoopThread("callers");
+    private final EventLoopThread upstreamLoop = new EventLoopThread("upstream");
+    private final EventLoopThread controlLoop = new EventLoopThread("control");
+    private final EventLoopThread accountingLoop = new EventLoopThread("accounting");
     private final MetricRegistry metrics = new MetricRegistry();
     private final MemberDirectory members = new MemberDirectory();
-    private final LoadMeasuring loads;
+    private final LoadMeasurementFactory loads;
     private final PlatformClient platform;
     private final NettyMeshTransport mesh;
     private final GossipTransport gossip;
-    private final AccountingDuty accounting;
-    private final EntryDuty entry;
-    private final CrashWatch crashes;
-    private final TargetDuty target;
-    private final ConfigurationDuty configuration;
-    private final MembershipDuty membership;
+    private final AccountingManager accounting;
+    private final EntryProxy entry;
+    private final CrashDetector crashes;
+    private final TargetProxy target;
+    private final ConfigurationManager configuration;
+    private final MembershipManager membership;
     private final ControlServer control;
     private final OperatorServer operators;
     private volatile boolean stopping;
@@ -104,19 +103,19 @@
      * @param customizer changes each channel to other nodes before it is used
      */
     public NodeProcess(
-            NodeSettings settings, Optional<NodeSecurity> security, ChannelCustomizer customizer) {
+            NodeSettings settings, Optional<NodeTls> security, ChannelCustomizer customizer) {
         this(settings, security, customizer, NodeOptions.PRODUCT);
     }
 
     /** Creates a node that a benchmark has changed. */
     public NodeProcess(
             NodeSettings settings,
-            Optional<NodeSecurity> security,
+            Optional<NodeTls> security,
             ChannelCustomizer customizer,
             NodeOptions options) {
         this.settings = settings;
-        this.loads = new LoadMeasuring(settings, metrics, members, System::nanoTime);
-        this.parameters = new NodeParameters(settings, security, options);
+        this.loads = new LoadMeasurementFactory(settings, metrics, members, System::nanoTime);
+        this.parameters = new ComponentSettings(settings, security, options);
         this.self = new NodeId(settings.getNodeId());
         Incarnation incarnation = new Incarnation(System.currentTimeMillis());
         platform = new PlatformClient(PlatformClientLimits.defaults(), new SplittableRandom());
@@ -133,39 +132,40 @@
         accounting =
                 AccountingFactory.create(
                         settings, incarnation, callerLoop, accountingLoop, members, mesh, platform);
-        crashes = new CrashWatch(self, incarnation, System::nanoTime, this::spread);
+        crashes = new CrashDetector(self, incarnation, System::nanoTime, this::spread);
         target = targetDuty(incarnation);
         entry = entryDuty(incarnation);
         configuration =
-                new ConfigurationDuty(
+                new ConfigurationManager(
                         controlLoop::execute,
                         members,
                         mesh,
                         serviceTable,
-                        version -> membership().protocol().spread(version),
+                        version -> membership().protocol().broadcast(version),
                         this::onConfiguration);
         membership =
-                new MembershipDuty(
+                new MembershipManager(
                         parameters.self(incarnation),
                         gossip,
-                        configuration.gossip(
-                                (peer, versions) -> membership().protocol().tell(peer, versions),
+                        configuration.createGossip(
+                                (peer, versions) ->
+                                        membership().protocol().sendVersions(peer, versions),
                                 record -> crashes().merge(record)),
-                        new JoinPoints(tables),
+                        new SeedNodeRegistry(tables),
                         members,
-                        new PresenceListener(self, entry, accounting, configuration),
+                        new MembershipEventForwarder(self, entry, accounting, configuration),
                         controlLoop::execute,
                         NodeProcess::monotonicMilliseconds,
                         new SplittableRandom());
         control =
                 new ControlServer(
-                        controlLoop.loop(),
+                        controlLoop.eventLoop(),
                         settings.getControlPort(),
                         settings.getAnnouncementLeaseMilliseconds(),
                         target::announce,
                         this::isReady,
                         target::drain,
-                        new MetricsText(metrics));
+                        new MetricsFormatter(metrics));
         operators = operatorServer(serviceTable);
         registerGauges();
     }
@@ -196,10 +196,10 @@
      */
     public CompletableFuture<Void> stop() {
         stopping = true;
-        entry.announceClose();
+        entry.startConnectionDraining();
         logger.atInfo().log("event=node-stopping node=%s", self);
-        StopSteps steps =
-                new StopSteps(
+        ShutdownSteps steps =
+                new ShutdownSteps(
                         target::drain,
                         entry::stop,
                         target::isIdle,
@@ -207,7 +207,7 @@
                         this::leave,
                         this::closePorts);
         long drain = settings.getDrainTimeoutMilliseconds();
-        return new PlannedStop(steps, drain, NodeProcess::monotonicMilliseconds)
+        return new GracefulShutdown(steps, drain, NodeProcess::monotonicMilliseconds)
                 .run()
                 .thenRun(this::stopLoops);
     }
@@ -236,7 +236,7 @@
     private void startTicks() {
         accounting.start();
         controlLoop.execute(
-                () -> configuration.begin(membership.nearestPeers(), monotonicMilliseconds()));
+                () -> configuration.requestAll(membership.nearestPeers(), monotonicMilliseconds()));
         SplittableRandom turns = new SplittableRandom();
         controlLoop.every(
                 MembershipProtocol.TICK_MILLISECONDS,
@@ -252,27 +252,27 @@
     private void registerGauges() {
         new NodeGauges(metrics)
                 .add(NodeMetric.OPEN_REQUESTS, entry::openRequests)
-                .add(NodeMetric.CRASHES, crashes::records)
+                .add(NodeMetric.CRASHES, crashes::recordCount)
                 .addLoad(target::lastLoad)
                 .addMembers(members::count)
                 .addGossip(gossip.traffic());
     }
 
-    private CrashWatch crashes() {
+    private CrashDetector crashes() {
         return crashes;
     }
 
     private void spread(QuarantineRecord record) {
-        controlLoop.execute(() -> membership.protocol().spread(record));
+        controlLoop.execute(() -> membership.protocol().broadcast(record));
     }
 
-    private MembershipDuty membership() {
+    private MembershipManager membership() {
         return membership;
     }
 
     private OperatorServer operatorServer(ServiceTable table) {
-        OperatorParts parts =
-                new OperatorParts(
+        OperatorDependencies parts =
+                new OperatorDependencies(
                         self,
                         controlLoop::execute,
                         configuration,
@@ -282,11 +282,11 @@
                         target,
                         table);
         return new OperatorServer(
-                parameters.operatorAddress(), parameters.operatorSecurity(), parts.service());
+                parameters.operatorAddress(), parameters.operatorSecurity(), parts.createService());
     }
 
-    private FrameReceivers receivers() {
-        return new FrameReceivers(
+    private FrameHandlers receivers() {
+        return new FrameHandlers(
                 this::onEntryFrame,
                 this::onTargetFrame,
                 (link, frame) -> link.send(loadAnswer()),
@@ -303,7 +303,7 @@
 
     private void onEntryFrame(MeshLink link, MeshFrame frame) {
         if (frame.hasLoadProbeAnswer()) {
-            entry.onLoad(link, frame, System::nanoTime);
+            entry.onLoadReport(link, frame, System::nanoTime);
         } else {
             entry.offer(frame);
         }
@@ -336,35 +336,36 @@
         controlLoop.execute(() -> membership.receive(message, from));
     }
 
-    private TargetDuty targetDuty(Incarnation incarnation) {
-        return new TargetDuty(
+    private TargetProxy targetDuty(Incarnation incarnation) {
+        return new TargetProxy(
                 upstreamLoop,
                 incarnation,
                 parameters.target(),
                 System::nanoTime,
                 System::currentTimeMillis,
-                TableClaims.of(
+                TableClaimService.of(
                         self,
                         incarnation,
                         platform.tableService(URI.create(settings.getTableServiceUrl())),
                         upstreamLoop::execute),
                 crashes,
-                loads.reports()::reportFor,
+                loads.createReportLimiter()::reportFor,
                 this::onUpstreamStatus);
     }
 
-    private EntryDuty entryDuty(Incarnation incarnation) {
-        SelfLink selfLink = new SelfLink(self, incarnation, frame -> entry.offer(frame));
-        MeshCarrier carrier =
-                new MeshCarrier(
+    private EntryProxy entryDuty(Incarnation incarnation) {
+        LoopbackLink selfLink = new LoopbackLink(self, incarnation, frame -> entry.offer(frame));
+        MeshFrameSender carrier =
+                new MeshFrameSender(
                         self,
                         members,
                         mesh,
                         frame -> target.offer(selfLink, frame),
                         (frame, reason) -> entry.onUnsent(frame, reason));
-        ServiceRuntimes runtimes = parameters.runtimes(members, loads.probes(callerLoop, carrier));
-        EntryParts parts =
-                new EntryParts(
+        ServiceRuntimes runtimes =
+                parameters.runtimes(members, loads.startProber(callerLoop, carrier));
+        EntryDependencies parts =
+                new EntryDependencies(
                         System::nanoTime,
                         System::currentTimeMillis,
                         callerLoop.timers(),
@@ -372,14 +373,14 @@
                         accounting,
                         new NodeMetrics(metrics, System::nanoTime)
                                 .andThen(
-                                        ServiceLevelOutcomes.of(
-                                                runtimes::matcher, accounting::onEnded)));
-        return new EntryDuty(callerLoop, self, incarnation, parameters.entry(), runtimes, parts);
+                                        ServiceLevelRecorder.of(
+                                                runtimes::matcher, accounting::onRequestEnded)));
+        return new EntryProxy(callerLoop, self, incarnation, parameters.entry(), runtimes, parts);
     }
 
     private void onConfiguration(ServiceMatcher services) {
-        entry.onConfiguration(services);
-        target.onConfiguration(services);
+        entry.onConfigurationChanged(services);
+        target.onConfigurationChanged(services);
     }
 
     private void onUpstreamStatus(UpstreamStatus status) {
@@ -389,7 +390,7 @@
                     status.service()
                             .ifPresent(
                                     service -> membership.protocol().announceService(service, now));
-                    membership.protocol().announceSelf(status.state(), status.capacity(), now);
+                    membership.protocol().announceUpstream(status.state(), status.capacity(), now);
                 });
     }
 
--- a/node/src/main/java/org/damaskmoor/node/internal/NodeParameters.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/ComponentSettings.java
@@ -15,15 +15,15 @@
 import org.damaskmoor.core.routing.RoutingOptions;
 import org.damaskmoor.mesh.MeshSettings;
 import org.damaskmoor.node.NodeOptions;
-import org.damaskmoor.node.internal.entry.EntryDuty.EntrySettings;
 import org.damaskmoor.node.internal.entry.EntryLimits;
+import org.damaskmoor.node.internal.entry.EntryProxy.EntrySettings;
 import org.damaskmoor.node.internal.entry.ServiceRuntimes;
 import org.damaskmoor.node.internal.entry.ServiceRuntimes.RoutingDefaults;
 import org.damaskmoor.node.internal.http.CallerLimits;
-import org.damaskmoor.node.internal.load.LoadProbes;
+import org.damaskmoor.node.internal.load.LoadProber;
 import org.damaskmoor.node.internal.members.MemberDirectory;
-import org.damaskmoor.node.internal.security.NodeSecurity;
-import org.damaskmoor.node.internal.target.TargetDuty.TargetLimits;
+import org.damaskmoor.node.internal.security.NodeTls;
+import org.damaskmoor.node.internal.target.TargetProxy.TargetLimits;
 import org.damaskmoor.schema.gossip.MemberRecord;
 import org.damaskmoor.schema.gossip.MemberState;
 import org.damaskmoor.schema.settings.NodeSettings;
@@ -33,18 +33,18 @@
  *
  * <p>Immutable and thread-safe.
  */
-public final class NodeParameters {
+public final class ComponentSettings {
     private static final int MESH_RING_FRAMES = 16_384;
     private static final int FRAME_OVERHEAD_BYTES = 256 * 1024;
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
     private static final Duration SILENCE_TIMEOUT = Duration.ofSeconds(1);
 
     private final NodeSettings settings;
-    private final Optional<NodeSecurity> security;
+    private final Optional<NodeTls> security;
     private final NodeOptions nodeOptions;
 
-    public NodeParameters(
-            NodeSettings settings, Optional<NodeSecurity> security, NodeOptions nodeOptions) {
+    public ComponentSettings(
+            NodeSettings settings, Optional<NodeTls> security, NodeOptions nodeOptions) {
         this.nodeOptions = nodeOptions;
         this.settings = settings;
         this.security = security;
@@ -57,7 +57,7 @@
 
     /** TLS towards operators. */
     public Optional<SslContext> operatorSecurity() {
-        return security.map(NodeSecurity::operators);
+        return security.map(NodeTls::operators);
     }
 
     /** The mesh's part. */
@@ -70,7 +70,7 @@
                 MESH_RING_FRAMES,
                 CONNECT_TIMEOUT,
                 SILENCE_TIMEOUT,
-                security.map(NodeSecurity::mesh));
+                security.map(NodeTls::mesh));
     }
 
     /** The entry part. */
@@ -100,7 +100,7 @@
     }
 
     /** The services that callers of this node use, none yet. */
-    public ServiceRuntimes runtimes(MemberDirectory members, LoadProbes probes) {
+    public ServiceRuntimes runtimes(MemberDirectory members, LoadProber probes) {
         return new ServiceRuntimes(
                 new RegionName(settings.getRegion()),
                 new DataCentreName(settings.getDataCentre()),
@@ -111,7 +111,7 @@
                 ServiceMatcher.of(List.of()));
     }
 
-    private RoutingDefaults routing(LoadProbes probes) {
+    private RoutingDefaults routing(LoadProber probes) {
         RoutingOptions options =
                 new RoutingOptions(
                         settings.getSampledCandidates(),
@@ -122,7 +122,7 @@
                 settings.getRetryBudgetPercent(),
                 nodeOptions.policy(),
                 nodeOptions.furtherAttempts(),
-                (service, router) -> probes.around(service, nodeOptions.observer().apply(router)));
+                (service, router) -> probes.wrap(service, nodeOptions.observer().apply(router)));
     }
 
     /** What other nodes are told of this one at its start. */
--- a/node/src/main/java/org/damaskmoor/node/internal/accounting/AccountingParts.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/accounting/AccountingDependencies.java
@@ -21,7 +21,7 @@
  * @param flushIntervalNanoseconds time between flushes
  * @param random spreads flushes and chooses among peers
  */
-public record AccountingParts(
+public record AccountingDependencies(
         LongSupplier clock,
         LongSupplier epochMilliseconds,
         Executor callers,
--- a/node/src/main/java/org/damaskmoor/node/internal/accounting/AccountingFactory.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/accounting/AccountingFactory.java
@@ -9,7 +9,7 @@
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.core.id.RegionName;
 import org.damaskmoor.mesh.MeshTransport;
-import org.damaskmoor.node.internal.duty.DutyLoop;
+import org.damaskmoor.node.internal.eventloop.EventLoopThread;
 import org.damaskmoor.node.internal.members.MemberDirectory;
 import org.damaskmoor.platform.PlatformClient;
 import org.damaskmoor.schema.mesh.MeshFrame;
@@ -26,16 +26,16 @@
      * @param accountingLoop the event loop that accounting has for itself
      * @param platform leads to the object store
      */
-    public static AccountingDuty create(
+    public static AccountingManager create(
             NodeSettings settings,
             Incarnation incarnation,
-            DutyLoop callerLoop,
-            DutyLoop accountingLoop,
+            EventLoopThread callerLoop,
+            EventLoopThread accountingLoop,
             MemberDirectory members,
             MeshTransport mesh,
             PlatformClient platform) {
-        AccountingParts parts =
-                new AccountingParts(
+        AccountingDependencies parts =
+                new AccountingDependencies(
                         System::nanoTime,
                         System::currentTimeMillis,
                         callerLoop::execute,
@@ -49,7 +49,7 @@
                         platform.objectStore(URI.create(settings.getObjectStoreUrl())),
                         TimeUnit.SECONDS.toNanos(settings.getAccountingFlushSeconds()),
                         new SplittableRandom());
-        return new AccountingDuty(new NodeId(settings.getNodeId()), incarnation, parts);
+        return new AccountingManager(new NodeId(settings.getNodeId()), incarnation, parts);
     }
 
     private static RefusalBatchSender sender(MemberDirectory members, MeshTransport mesh) {
--- a/node/src/main/java/org/damaskmoor/node/internal/accounting/AccountingDuty.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/accounting/AccountingManager.java
@@ -6,14 +6,14 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.damaskmoor.core.accounting.EndedRequest;
+import org.damaskmoor.core.accounting.CompletedRequest;
 import org.damaskmoor.core.accounting.ObjectWriteQueue;
-import org.damaskmoor.core.accounting.RefusalBuddy;
+import org.damaskmoor.core.accounting.RefusalCounters;
 import org.damaskmoor.core.accounting.RefusalDurability;
 import org.damaskmoor.core.accounting.RefusalFlusher;
-import org.damaskmoor.core.accounting.RefusalLedger;
-import org.damaskmoor.core.accounting.RefusalWriter;
-import org.damaskmoor.core.accounting.RefusalWriterLimits;
+import org.damaskmoor.core.accounting.RefusalReplica;
+import org.damaskmoor.core.accounting.RefusalReplicator;
+import org.damaskmoor.core.accounting.RefusalReplicatorLimits;
 import org.damaskmoor.core.accounting.RequestFlusher;
 import org.damaskmoor.core.id.Incarnation;
 import org.damaskmoor.core.id.NodeId;
@@ -39,7 +39,7 @@
  * is handed to the accounting event loop. Invariants: a refusal is answered once, when a peer
  * stored it or its gap is noted; what is flushed counts every refusal once.
  */
-public final class AccountingDuty implements RefusalRecorder {
+public final class AccountingManager implements RefusalRecorder {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final int RING_REFUSALS = 16_384;
     private static final int RING_FRAMES = 4_096;
@@ -51,30 +51,30 @@
 
     private record Received(MeshLink link, MeshFrame frame) {}
 
-    private final AccountingParts parts;
-    private final RefusalWriter writer;
-    private final RefusalBuddy buddy = new RefusalBuddy(BUDDY_KEYS, KEYS_PER_GROUP);
+    private final AccountingDependencies parts;
+    private final RefusalReplicator writer;
+    private final RefusalReplica buddy = new RefusalReplica(BUDDY_KEYS, KEYS_PER_GROUP);
     private final RefusalFlusher refusals;
     private final RequestFlusher requests;
     private final ObjectWriter refusalObjects;
     private final ObjectWriter requestObjects;
-    private final AccountingTicks ticks;
+    private final AdaptiveTicker ticks;
     private final RefusalOverflow overflow;
     private final RefusalRecorder intake;
     private final BoundedMailbox<Received> frames;
-    private final BoundedMailbox<EndedRequest> ended;
+    private final BoundedMailbox<CompletedRequest> ended;
     private final Map<NodeId, Incarnation> present = new HashMap<>();
     private int unanswered;
     private CompletableFuture<Void> flushed;
 
     /** Creates the duty of one start of a node. */
-    public AccountingDuty(NodeId self, Incarnation incarnation, AccountingParts parts) {
+    public AccountingManager(NodeId self, Incarnation incarnation, AccountingDependencies parts) {
         this.parts = parts;
         writer =
-                new RefusalWriter(
+                new RefusalReplicator(
                         self,
                         incarnation,
-                        RefusalWriterLimits.defaults(),
+                        RefusalReplicatorLimits.defaults(),
                         parts.peers(),
                         parts.sender(),
                         parts.random());
@@ -99,7 +99,7 @@
                 new ObjectWriter(parts.store(), refusals, parts.accounting(), parts.clock());
         requestObjects =
                 new ObjectWriter(parts.store(), requests, parts.accounting(), parts.clock());
-        ticks = new AccountingTicks(parts.timers(), this::isOpen, this::tick);
+        ticks = new AdaptiveTicker(parts.timers(), this::isOpen, this::tick);
         overflow = new RefusalOverflow(parts.callers(), parts.accounting(), this::takeAnswered);
         intake = intake(self, incarnation);
         frames = mailbox(RING_FRAMES, this::take);
@@ -136,7 +136,7 @@
     }
 
     /** Counts an ended request for the service level. */
-    public void onEnded(EndedRequest request) {
+    public void onRequestEnded(CompletedRequest request) {
         if (!ended.offer(request)) {
             logger.atWarning().atMostEvery(1, TimeUnit.SECONDS).log(
                     "event=request-uncounted step=enqueue peer=accounting reason=ring-full");
@@ -152,12 +152,12 @@
     }
 
     /** A member is present, for the first time, again, or in a new incarnation. */
-    public void onPresent(MemberRecord member) {
+    public void onMemberPresent(MemberRecord member) {
         parts.accounting().execute(() -> notePresent(member));
     }
 
     /** A member is dead or left. */
-    public void onGone(MemberRecord member) {
+    public void onMemberGone(MemberRecord member) {
         parts.accounting().execute(() -> noteGone(nodeOf(member), incarnationOf(member)));
     }
 
@@ -173,12 +173,12 @@
         parts.callers()
                 .execute(
                         () -> {
-                            overflow.handOver();
+                            overflow.transfer();
                             parts.accounting().execute(() -> beginFlush(whenFlushed));
                         });
         return whenFlushed
                 .orTimeout(Math.max(1, longestMilliseconds), TimeUnit.MILLISECONDS)
-                .exceptionally(AccountingDuty::logUnflushed);
+                .exceptionally(AccountingManager::logUnflushed);
     }
 
     private void beginFlush(CompletableFuture<Void> whenFlushed) {
@@ -211,8 +211,8 @@
         }
     }
 
-    private void takeAnswered(RefusalLedger answered) {
-        writer.recordAnswered(answered, now());
+    private void takeAnswered(RefusalCounters answered) {
+        writer.recordAlreadyAnswered(answered, now());
     }
 
     private void take(Received received) {
@@ -232,19 +232,19 @@
     }
 
     private void notePresent(MemberRecord member) {
-        parts.peers().onPresent(member);
+        parts.peers().onMemberPresent(member);
         NodeId node = nodeOf(member);
         Incarnation incarnation = incarnationOf(member);
         Incarnation before = present.put(node, incarnation);
         if (before != null && !before.equals(incarnation)) {
             writer.onPeerLost(node, now());
-            buddy.onOwnerGone(node, before);
+            buddy.onOwnerDown(node, before);
         }
-        buddy.onOwnerBack(node, incarnation);
+        buddy.onOwnerUp(node, incarnation);
     }
 
     private void noteGone(NodeId node, Incarnation incarnation) {
-        buddy.onOwnerGone(node, incarnation);
+        buddy.onOwnerDown(node, incarnation);
         if (present.remove(node, incarnation)) {
             writer.onPeerLost(node, now());
         }
--- a/node/src/main/java/org/damaskmoor/node/internal/accounting/AccountingPeers.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/accounting/AccountingPeers.java
@@ -32,7 +32,7 @@
     }
 
     /** A member is present. */
-    void onPresent(MemberRecord member) {
+    void onMemberPresent(MemberRecord member) {
         severalDataCentres |=
                 member.getRegion().equals(region.value())
                         && !member.getDataCentre().equals(dataCentre.value());
--- a/node/src/main/java/org/damaskmoor/node/internal/accounting/AccountingTicks.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/accounting/AdaptiveTicker.java
@@ -8,7 +8,7 @@
  *
  * <p>Confined to the event loop of its timers. Invariant: one run is scheduled at any time.
  */
-final class AccountingTicks {
+final class AdaptiveTicker {
     static final long OPEN_MILLISECONDS = 1;
     static final long IDLE_MILLISECONDS = 25;
 
@@ -18,7 +18,7 @@
     private Timers.Cancellation next = () -> {};
     private boolean soon;
 
-    AccountingTicks(Timers timers, BooleanSupplier open, Runnable task) {
+    AdaptiveTicker(Timers timers, BooleanSupplier open, Runnable task) {
         this.timers = timers;
         this.open = open;
         this.task = task;
@@ -38,7 +38,7 @@
 
     private void schedule() {
         soon = open.getAsBoolean();
-        next = timers.after(soon ? OPEN_MILLISECONDS : IDLE_MILLISECONDS, this::run);
+        next = timers.schedule(soon ? OPEN_MILLISECONDS : IDLE_MILLISECONDS, this::run);
     }
 
     private void run() {
--- a/node/src/main/java/org/damaskmoor/node/internal/accounting/RefusalOverflow.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/accounting/RefusalOverflow.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
 import org.damaskmoor.core.accounting.Refusal;
-import org.damaskmoor.core.accounting.RefusalLedger;
+import org.damaskmoor.core.accounting.RefusalCounters;
 
 /**
  * Counts the refusals that found the accounting ring full, each as a gap, and hands the counts over
@@ -17,8 +17,8 @@
 
     private final Executor callers;
     private final Executor accounting;
-    private final Consumer<RefusalLedger> receiver;
-    private RefusalLedger ledger = new RefusalLedger(MAXIMUM_KEYS);
+    private final Consumer<RefusalCounters> receiver;
+    private RefusalCounters ledger = new RefusalCounters(MAXIMUM_KEYS);
     private boolean announced;
 
     /**
@@ -26,7 +26,7 @@
      *
      * @param receiver takes the counts, on the accounting event loop
      */
-    RefusalOverflow(Executor callers, Executor accounting, Consumer<RefusalLedger> receiver) {
+    RefusalOverflow(Executor callers, Executor accounting, Consumer<RefusalCounters> receiver) {
         this.callers = callers;
         this.accounting = accounting;
         this.receiver = receiver;
@@ -37,16 +37,16 @@
         ledger.addGap(refusal.epochMinute(), 1);
         if (!announced) {
             announced = true;
-            accounting.execute(() -> callers.execute(this::handOver));
+            accounting.execute(() -> callers.execute(this::transfer));
         }
     }
 
     /** Hands over what there is now. */
-    void handOver() {
+    void transfer() {
         announced = false;
-        RefusalLedger counted = ledger;
+        RefusalCounters counted = ledger;
         if (!counted.isEmpty()) {
-            ledger = new RefusalLedger(MAXIMUM_KEYS);
+            ledger = new RefusalCounters(MAXIMUM_KEYS);
             accounting.execute(() -> receiver.accept(counted));
         }
     }
--- a/node/src/main/java/org/damaskmoor/node/internal/accounting/ServiceLevelOutcomes.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/accounting/ServiceLevelRecorder.java
@@ -5,12 +5,12 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
-import org.damaskmoor.core.accounting.EndedRequest;
-import org.damaskmoor.core.accounting.RequestEnd;
+import org.damaskmoor.core.accounting.CompletedRequest;
+import org.damaskmoor.core.accounting.RequestOutcome;
+import org.damaskmoor.core.atmostonce.UnknownOutcomeStep;
 import org.damaskmoor.core.configuration.MatchedService;
 import org.damaskmoor.core.configuration.ServiceMatcher;
 import org.damaskmoor.core.id.NodeId;
-import org.damaskmoor.core.once.CallStep;
 import org.damaskmoor.node.internal.entry.CallTemplate;
 import org.damaskmoor.node.internal.entry.OutcomeListener;
 import org.damaskmoor.schema.configuration.ServiceLevelObjective;
@@ -26,13 +26,13 @@
  *
  * <p>Confined to the caller event loop.
  */
-public final class ServiceLevelOutcomes implements OutcomeListener {
+public final class ServiceLevelRecorder implements OutcomeListener {
     private static final int FIRST_SERVER_ERROR = 500;
 
     private final Supplier<ServiceMatcher> services;
     private final LongSupplier clock;
     private final LongSupplier epochMilliseconds;
-    private final Consumer<EndedRequest> receiver;
+    private final Consumer<CompletedRequest> receiver;
 
     /**
      * Counts by the objectives of the configuration in force.
@@ -42,11 +42,11 @@
      * @param epochMilliseconds the wall clock
      * @param receiver takes each ended request; must not block
      */
-    ServiceLevelOutcomes(
+    ServiceLevelRecorder(
             Supplier<ServiceMatcher> services,
             LongSupplier clock,
             LongSupplier epochMilliseconds,
-            Consumer<EndedRequest> receiver) {
+            Consumer<CompletedRequest> receiver) {
         this.services = services;
         this.clock = clock;
         this.epochMilliseconds = epochMilliseconds;
@@ -54,38 +54,38 @@
     }
 
     /** Counts by the clocks of this process. */
-    public static ServiceLevelOutcomes of(
-            Supplier<ServiceMatcher> services, Consumer<EndedRequest> receiver) {
-        return new ServiceLevelOutcomes(
+    public static ServiceLevelRecorder of(
+            Supplier<ServiceMatcher> services, Consumer<CompletedRequest> receiver) {
+        return new ServiceLevelRecorder(
                 services, System::nanoTime, System::currentTimeMillis, receiver);
     }
 
     @Override
     public void onAnswered(CallTemplate template, int status) {
         if (status >= FIRST_SERVER_ERROR) {
-            count(template, RequestEnd.FAILED);
+            count(template, RequestOutcome.FAILED);
             return;
         }
         boolean late = latencyMilliseconds(template) > allowedMilliseconds(template);
-        count(template, late ? RequestEnd.LATE : RequestEnd.ANSWERED_IN_TIME);
+        count(template, late ? RequestOutcome.LATE : RequestOutcome.ANSWERED_IN_TIME);
     }
 
     @Override
     public void onRefused(CallTemplate template, RefusalReason reason) {
         switch (reason) {
             case NOT_ALLOWED, MALFORMED, TOO_LARGE, UNKNOWN_SERVICE -> {}
-            default -> count(template, RequestEnd.REFUSED);
+            default -> count(template, RequestOutcome.REFUSED);
         }
     }
 
     @Override
-    public void onUnknown(CallTemplate template, CallStep step, NodeId peer) {
-        count(template, RequestEnd.UNKNOWN);
+    public void onUnknown(CallTemplate template, UnknownOutcomeStep step, NodeId peer) {
+        count(template, RequestOutcome.UNKNOWN);
     }
 
-    private void count(CallTemplate template, RequestEnd end) {
+    private void count(CallTemplate template, RequestOutcome end) {
         receiver.accept(
-                new EndedRequest(
+                new CompletedRequest(
                         template.service(),
                         template.call().getKind(),
                         TimeUnit.MILLISECONDS.toMinutes(epochMilliseconds.getAsLong()),
--- a/node/src/main/java/org/damaskmoor/node/internal/claims/TableClaims.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/claims/TableClaimService.java
@@ -12,7 +12,7 @@
 import org.damaskmoor.core.id.Incarnation;
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.node.internal.target.ClaimService;
-import org.damaskmoor.platform.ReadBackVerdict;
+import org.damaskmoor.platform.ReadBackResult;
 import org.damaskmoor.platform.ReadBackWrite;
 import org.damaskmoor.platform.Row;
 import org.damaskmoor.platform.TableService;
@@ -35,7 +35,7 @@
  * released; a row is deleted only by the target that wrote it last, for the request that it wrote
  * it for. Results come on the upstream event loop.
  */
-public final class TableClaims implements ClaimService {
+public final class TableClaimService implements ClaimService {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final String TABLE = "claims";
     private static final int WRITE_ATTEMPTS = 3;
@@ -52,9 +52,9 @@
     private final Executor later;
 
     /** Claims for one start of a node, with the wall clock and the usual pause. */
-    public static TableClaims of(
+    public static TableClaimService of(
             NodeId self, Incarnation incarnation, TableService tables, Executor upstream) {
-        return new TableClaims(
+        return new TableClaimService(
                 self,
                 incarnation,
                 tables,
@@ -71,7 +71,7 @@
      * @param upstream runs tasks on the upstream event loop; must not drop them
      * @param later runs tasks after the pause between attempts to release
      */
-    public TableClaims(
+    public TableClaimService(
             NodeId self,
             Incarnation incarnation,
             TableService tables,
@@ -145,7 +145,7 @@
                 key,
                 condition,
                 value,
-                row -> row.value().equals(value) ? ReadBackVerdict.MINE : ReadBackVerdict.OTHER);
+                row -> row.value().equals(value) ? ReadBackResult.MINE : ReadBackResult.OTHER);
     }
 
     private static Claim unavailable(String key, Throwable failure) {
@@ -170,7 +170,7 @@
 
     private CompletableFuture<Boolean> deleteIfMine(Optional<Row> row, ClaimRecord mine) {
         boolean standsForMe =
-                row.map(TableClaims::parse)
+                row.map(TableClaimService::parse)
                         .filter(standing -> isSameRequest(standing, mine))
                         .filter(standing -> isSameTarget(standing, mine))
                         .isPresent();
--- a/node/src/main/java/org/damaskmoor/node/internal/configuration/ConfigurationDuty.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/configuration/ConfigurationManager.java
@@ -9,13 +9,13 @@
 import java.util.function.Consumer;
 import org.damaskmoor.core.configuration.ChangeOutcome;
 import org.damaskmoor.core.configuration.ChangeRequest;
+import org.damaskmoor.core.configuration.ConfigurationBootstrap;
 import org.damaskmoor.core.configuration.ConfigurationChanger;
 import org.damaskmoor.core.configuration.ConfigurationGossip;
 import org.damaskmoor.core.configuration.ConfigurationPuller;
-import org.damaskmoor.core.configuration.ConfigurationStart;
 import org.damaskmoor.core.configuration.ConfigurationStore;
 import org.damaskmoor.core.configuration.ConfigurationValidator;
-import org.damaskmoor.core.configuration.PeerConfigurations;
+import org.damaskmoor.core.configuration.PeerConfigurationTracker;
 import org.damaskmoor.core.configuration.ServiceMatcher;
 import org.damaskmoor.core.configuration.ServiceTable;
 import org.damaskmoor.core.id.NodeId;
@@ -36,7 +36,7 @@
  * <p>Confined to the control event loop, but for {@link #matcher} and {@link #isReady}, which any
  * thread may call.
  */
-public final class ConfigurationDuty {
+public final class ConfigurationManager {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
     private final Executor control;
@@ -44,9 +44,9 @@
     private final MeshTransport mesh;
     private final ConfigurationStore store;
     private final ConfigurationPuller puller;
-    private final ConfigurationStart start;
+    private final ConfigurationBootstrap start;
     private final ConfigurationChanger changer;
-    private final PeerConfigurations peers = new PeerConfigurations();
+    private final PeerConfigurationTracker peers = new PeerConfigurationTracker();
     private final Consumer<ConfigurationVersion> spread;
     private final Consumer<ServiceMatcher> onChange;
     private volatile ServiceMatcher matcher = ServiceMatcher.of(List.of());
@@ -62,7 +62,7 @@
      * @param spread tells all nodes that a version exists
      * @param onChange told of each new state of the configuration, on the control event loop
      */
-    public ConfigurationDuty(
+    public ConfigurationManager(
             Executor control,
             MemberDirectory members,
             MeshTransport mesh,
@@ -76,7 +76,7 @@
         this.onChange = onChange;
         store = new ConfigurationStore(this::onAccepted);
         puller = new ConfigurationPuller(store, this::request, table, control);
-        start = new ConfigurationStart(store, this::request, table, control);
+        start = new ConfigurationBootstrap(store, this::request, table, control);
         changer =
                 new ConfigurationChanger(
                         table,
@@ -85,7 +85,7 @@
     }
 
     /** What rides on the membership protocol's datagrams. */
-    public ConfigurationGossip gossip(
+    public ConfigurationGossip createGossip(
             BiConsumer<NodeId, List<ConfigurationVersion>> teller,
             java.util.function.Predicate<QuarantineRecord> quarantine) {
         return new ConfigurationGossip(store, puller, peers, teller, quarantine);
@@ -112,7 +112,7 @@
     }
 
     /** How other nodes' configurations stand to this one's. */
-    public PeerConfigurations peers() {
+    public PeerConfigurationTracker peers() {
         return peers;
     }
 
@@ -122,8 +122,8 @@
     }
 
     /** Asks peers and table for everything. */
-    public void begin(List<NodeId> nearestPeers, long nowMilliseconds) {
-        start.ask(nearestPeers, nowMilliseconds);
+    public void requestAll(List<NodeId> nearestPeers, long nowMilliseconds) {
+        start.requestAll(nearestPeers, nowMilliseconds);
     }
 
     /** Does what is due; call it every 100 milliseconds. */
--- a/node/src/main/java/org/damaskmoor/node/internal/control/AnnouncementReader.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/control/AnnouncementParser.java
@@ -9,17 +9,17 @@
 import org.damaskmoor.schema.mesh.UpstreamState;
 
 /** Reads and checks what an upstream announces. Stateless and thread-safe. */
-final class AnnouncementReader {
+final class AnnouncementParser {
     private static final Pattern SERVICE = Pattern.compile("[a-z0-9][a-z0-9-]{0,62}");
     private static final Pattern ADDRESS = Pattern.compile("[0-9a-f.:]{2,45}");
     private static final int MAXIMUM_PORT = 65_535;
     private static final int MAXIMUM_SLOTS = 100_000;
 
-    private AnnouncementReader() {}
+    private AnnouncementParser() {}
 
-    static Announcement read(JsonElement element) throws AnnouncementException {
+    static Announcement parse(JsonElement element) throws InvalidAnnouncementException {
         if (!element.isJsonObject()) {
-            throw new AnnouncementException("(whole body)", "a JSON object");
+            throw new InvalidAnnouncementException("(whole body)", "a JSON object");
         }
         JsonObject body = element.getAsJsonObject();
         return new Announcement(
@@ -31,30 +31,31 @@
                 state(body));
     }
 
-    private static UpstreamState state(JsonObject body) throws AnnouncementException {
+    private static UpstreamState state(JsonObject body) throws InvalidAnnouncementException {
         return switch (text(body, "state", Pattern.compile(".*"))) {
             case "warming" -> UpstreamState.WARMING;
             case "serving" -> UpstreamState.SERVING;
             case "leaving" -> UpstreamState.LEAVING;
-            default -> throw new AnnouncementException("state", "warming, serving or leaving");
+            default ->
+                    throw new InvalidAnnouncementException("state", "warming, serving or leaving");
         };
     }
 
     private static String text(JsonObject body, String field, Pattern pattern)
-            throws AnnouncementException {
+            throws InvalidAnnouncementException {
         JsonElement value = body.get(field);
         boolean usable =
                 value != null
                         && value.isJsonPrimitive()
                         && pattern.matcher(value.getAsString()).matches();
         if (!usable) {
-            throw new AnnouncementException(field, "text that matches " + pattern);
+            throw new InvalidAnnouncementException(field, "text that matches " + pattern);
         }
         return value.getAsString();
     }
 
     private static int number(JsonObject body, String field, int maximum)
-            throws AnnouncementException {
+            throws InvalidAnnouncementException {
         try {
             JsonElement value = body.get(field);
             int number = value == null ? 0 : value.getAsInt();
@@ -62,8 +63,8 @@
                 return number;
             }
         } catch (NumberFormatException | UnsupportedOperationException notANumber) {
-            throw new AnnouncementException(field, "a number from 1 to " + maximum);
+            throw new InvalidAnnouncementException(field, "a number from 1 to " + maximum);
         }
-        throw new AnnouncementException(field, "a number from 1 to " + maximum);
+        throw new InvalidAnnouncementException(field, "a number from 1 to " + maximum);
     }
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/control/ControlServer.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/control/ControlServer.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import org.damaskmoor.node.internal.metrics.MetricsText;
+import org.damaskmoor.node.internal.metrics.MetricsFormatter;
 import org.damaskmoor.node.internal.target.Announcement;
 
 /**
@@ -38,7 +38,7 @@
     private final long leaseMilliseconds;
     private final BooleanSupplier ready;
     private final Runnable drain;
-    private final MetricsText metrics;
+    private final MetricsFormatter metrics;
     private final HttpServer server;
 
     /**
@@ -59,7 +59,7 @@
             Consumer<Announcement> announcements,
             BooleanSupplier ready,
             Runnable drain,
-            MetricsText metrics) {
+            MetricsFormatter metrics) {
         this.loop = loop;
         this.leaseMilliseconds = leaseMilliseconds;
         this.announcements = announcements;
@@ -90,8 +90,8 @@
                 .with(HttpMethod.POST, "/announce", this::announce)
                 .with(HttpMethod.GET, "/health", request -> text(OK, "healthy\n"))
                 .with(HttpMethod.GET, "/ready", request -> readiness())
-                .with(HttpMethod.GET, "/metrics", request -> text(OK, metrics.prometheus()))
-                .with(HttpMethod.GET, "/metrics.json", request -> json(OK, metrics.json()))
+                .with(HttpMethod.GET, "/metrics", request -> text(OK, metrics.toPrometheusText()))
+                .with(HttpMethod.GET, "/metrics.json", request -> json(OK, metrics.toJson()))
                 .with(HttpMethod.POST, "/drain", request -> startDrain())
                 .build();
     }
@@ -103,8 +103,8 @@
 
     private Promise<HttpResponse> announce(String body) {
         try {
-            announcements.accept(AnnouncementReader.read(JsonParser.parseString(body)));
-        } catch (AnnouncementException | JsonParseException unusable) {
+            announcements.accept(AnnouncementParser.parse(JsonParser.parseString(body)));
+        } catch (InvalidAnnouncementException | JsonParseException unusable) {
             return json(BAD_REQUEST, problem(String.valueOf(unusable.getMessage())));
         }
         JsonObject answer = new JsonObject();
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/CallerDeadline.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/DeadlineHeader.java
@@ -4,13 +4,13 @@
 import org.damaskmoor.node.internal.http.CallerRequest;
 
 /** Reads what a caller says of its patience. Stateless and thread-safe. */
-final class CallerDeadline {
+final class DeadlineHeader {
     private static final String FIELD = "Damaskmoor-Deadline-Ms";
 
-    private CallerDeadline() {}
+    private DeadlineHeader() {}
 
     /** Milliseconds that the caller still waits; empty when it names no valid number. */
-    static OptionalLong milliseconds(CallerRequest request) {
+    static OptionalLong timeoutMilliseconds(CallerRequest request) {
         String value = request.header(FIELD);
         if (value.isEmpty()) {
             return OptionalLong.empty();
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/EntryParts.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/EntryDependencies.java
@@ -13,10 +13,10 @@
  * @param refusals accounts for refusals
  * @param outcomes told how requests end
  */
-public record EntryParts(
+public record EntryDependencies(
         LongSupplier clock,
         LongSupplier epochMilliseconds,
         Timers timers,
-        TargetCarrier carrier,
+        TargetFrameSender carrier,
         RefusalRecorder refusals,
         OutcomeListener outcomes) {}
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/EntryDispatcher.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/EntryDispatcher.java
@@ -13,9 +13,9 @@
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.core.id.RequestId;
 import org.damaskmoor.core.id.ServiceName;
-import org.damaskmoor.node.internal.http.CallerHandler;
 import org.damaskmoor.node.internal.http.CallerReply;
 import org.damaskmoor.node.internal.http.CallerRequest;
+import org.damaskmoor.node.internal.http.CallerRequestHandler;
 import org.damaskmoor.schema.mesh.Call;
 import org.damaskmoor.schema.mesh.MeshFrame;
 import org.damaskmoor.schema.mesh.RefusalReason;
@@ -26,7 +26,7 @@
  * <p>Confined to the caller event loop; frames reach it through a mailbox. Invariant: a message of
  * another request, or of a request that ended, changes nothing.
  */
-public final class EntryDispatcher implements CallerHandler {
+public final class EntryDispatcher implements CallerRequestHandler {
     private static final ServiceName NO_SERVICE = new ServiceName("none");
 
     private final NodeId self;
@@ -34,7 +34,7 @@
     private final EntryLimits limits;
     private final RequestMatcher matcher;
     private final Function<MatchedRequest, ServiceRuntime> runtimes;
-    private final EntryEnvironment environment;
+    private final ExchangeContext environment;
     private final Map<Long, EntryExchange> exchanges = new ConcurrentHashMap<>();
     private final LongSupplier epochMilliseconds;
     private long lastSequence;
@@ -45,7 +45,7 @@
             EntryLimits limits,
             RequestMatcher matcher,
             Function<MatchedRequest, ServiceRuntime> runtimes,
-            EntryParts parts) {
+            EntryDependencies parts) {
         this.self = self;
         this.incarnation = incarnation;
         this.limits = limits;
@@ -53,7 +53,7 @@
         this.runtimes = runtimes;
         this.epochMilliseconds = parts.epochMilliseconds();
         this.environment =
-                new EntryEnvironment(
+                new ExchangeContext(
                         parts.clock(),
                         parts.timers(),
                         parts.carrier(),
@@ -84,7 +84,7 @@
     }
 
     @Override
-    public void refuseUnread(String caller, RefusalReason reason, Consumer<CallerReply> reply) {
+    public void refuseUnparsed(String caller, RefusalReason reason, Consumer<CallerReply> reply) {
         refuse(
                 new CallTemplate(
                         NO_SERVICE,
@@ -166,7 +166,7 @@
                 TimeUnit.NANOSECONDS.toMillis(environment.now() - request.arrivalNanoseconds());
         Call call =
                 Call.newBuilder()
-                        .setRequestId(EntryFrames.message(id))
+                        .setRequestId(EntryFrames.toMessage(id))
                         .setService(matched.service().value())
                         .setMethod(request.method())
                         .setTarget(request.target())
@@ -193,7 +193,7 @@
                 matched.timeoutMilliseconds() > 0
                         ? matched.timeoutMilliseconds()
                         : limits.defaultTimeoutMilliseconds();
-        return CallerDeadline.milliseconds(request).stream()
+        return DeadlineHeader.timeoutMilliseconds(request).stream()
                 .map(asked -> Math.min(asked, allowed))
                 .findFirst()
                 .orElse(allowed);
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/EntryExchange.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/EntryExchange.java
@@ -9,16 +9,16 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import org.damaskmoor.core.atmostonce.AttemptId;
+import org.damaskmoor.core.atmostonce.EntryAction;
+import org.damaskmoor.core.atmostonce.EntryCall;
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.core.id.RequestId;
 import org.damaskmoor.core.id.TargetId;
-import org.damaskmoor.core.once.AttemptId;
-import org.damaskmoor.core.once.EntryAction;
-import org.damaskmoor.core.once.EntryCall;
 import org.damaskmoor.core.retry.DeadlineBudget;
 import org.damaskmoor.core.routing.Choice;
 import org.damaskmoor.core.routing.KeyScope;
-import org.damaskmoor.core.routing.RequestView;
+import org.damaskmoor.core.routing.RoutingRequest;
 import org.damaskmoor.node.internal.http.CallerReply;
 import org.damaskmoor.node.internal.http.OutcomeReplies;
 import org.damaskmoor.node.internal.time.Timers;
@@ -43,7 +43,7 @@
     private final CallTemplate template;
     private final EntryCall call;
     private final ServiceRuntime runtime;
-    private final EntryEnvironment environment;
+    private final ExchangeContext environment;
     private final Consumer<CallerReply> reply;
     private final Map<Integer, SentAttempt> attempts = new HashMap<>();
     private final Set<NodeId> tried = new HashSet<>();
@@ -57,7 +57,7 @@
             RequestId id,
             CallTemplate template,
             ServiceRuntime runtime,
-            EntryEnvironment environment,
+            ExchangeContext environment,
             Consumer<CallerReply> reply) {
         this.id = id;
         this.template = template;
@@ -67,7 +67,9 @@
         this.reply = reply;
         this.retry = new RetryDecision(runtime.retryBudget(), template.call().getNonIdempotent());
         this.deadlineTimer =
-                environment.timers().after(remainingMilliseconds(), () -> perform(call.deadline()));
+                environment
+                        .timers()
+                        .schedule(remainingMilliseconds(), () -> perform(call.deadline()));
     }
 
     void start() {
@@ -103,20 +105,20 @@
     void onRefused(CallRefused received) {
         int attempt = received.getAttempt();
         sent(attempt).ifPresent(ended -> ended.endRefused(runtime, received));
-        retry.afterRefusal(received.getReason(), received.getRefusedBelow());
+        retry.onRefused(received.getReason(), received.getRefusedBelow());
         retryAfterMilliseconds = received.getRetryAfterMilliseconds();
         perform(call.refused(attemptId(attempt), received.getReason()));
     }
 
     void onFailed(CallFailed received) {
         sent(received.getAttempt()).ifPresent(ended -> ended.endFailed(runtime));
-        retry.afterFailure();
+        retry.onFailed();
         perform(call.failed(attemptId(received.getAttempt())));
     }
 
     void onSealResult(int attempt, SealState state) {
         sent(attempt).ifPresent(SentAttempt::stopTimer);
-        retry.afterRefusal(RefusalReason.SEALED_AFTER_SILENCE, false);
+        retry.onRefused(RefusalReason.SEALED_AFTER_SILENCE, false);
         perform(call.sealResult(attemptId(attempt), state));
     }
 
@@ -127,7 +129,7 @@
                             ended.endFailed(runtime);
                             runtime.router().onUnreachable(ended.targetId(), environment.now());
                         });
-        retry.afterRefusal(reason, false);
+        retry.onRefused(reason, false);
         perform(call.notSent(attemptId(attempt), reason));
     }
 
@@ -150,7 +152,7 @@
     }
 
     void onCallerGone() {
-        perform(call.callerGone());
+        perform(call.callerDisconnected());
     }
 
     private void perform(List<EntryAction> actions) {
@@ -174,20 +176,21 @@
         } else if (action instanceof EntryAction.RefuseCaller refuse) {
             environment.refuse(template, refuse.reason(), retryAfterMilliseconds, reply);
         } else if (action instanceof EntryAction.UnknownToCaller unknown) {
-            environment.noteUnknown(template, unknown.step(), unknown.peer());
+            environment.recordUnknown(template, unknown.step(), unknown.peer());
             reply.accept(OutcomeReplies.unknown(unknown.step().wireName(), unknown.peer().value()));
         }
     }
 
     private void send(AttemptId attempt) {
         long now = environment.now();
-        if (attempt.attempt() > 1 && !retry.allows(attempt.attempt(), remaining(), now)) {
-            perform(call.noTarget(attempt, retry.reason()));
+        if (attempt.attempt() > 1
+                && !retry.tryAcquireAttempt(attempt.attempt(), remaining(), now)) {
+            perform(call.noTarget(attempt, retry.refusalReason()));
             return;
         }
         Optional<Choice> choice = choose();
         if (choice.isEmpty()) {
-            perform(call.noTarget(attempt, retry.reason()));
+            perform(call.noTarget(attempt, retry.refusalReason()));
             return;
         }
         TargetId target = choice.get().target().id();
@@ -205,8 +208,8 @@
                     template.call().getClaim() ? KeyScope.REGION_FIRST : KeyScope.ALL_REGIONS;
             return runtime.router().chooseForKey(key, scope, tried, now);
         }
-        RequestView view =
-                new RequestView(
+        RoutingRequest view =
+                new RoutingRequest(
                         template.call().getNonIdempotent(), template.deadlineNanoseconds() - now);
         return runtime.router().choose(view, tried, now);
     }
@@ -253,7 +256,7 @@
     private void answerCaller() {
         reply.accept(
                 new CallerReply(answer.getStatus(), answer.getHeadersList(), answer.getBody()));
-        environment.noteAnswered(template, answer.getStatus());
+        environment.recordAnswered(template, answer.getStatus());
     }
 
     private void scheduleHedge() {
@@ -262,13 +265,13 @@
                         .delayNanoseconds(template.call().getNonIdempotent(), environment.now());
         if (delay.isPresent()) {
             long milliseconds = 1 + TimeUnit.NANOSECONDS.toMillis(delay.getAsLong());
-            hedgeTimer = environment.timers().after(milliseconds, this::hedge);
+            hedgeTimer = environment.timers().schedule(milliseconds, this::hedge);
         }
     }
 
     private void hedge() {
         if (!call.isFinished() && runtime.hedgePolicy().tryHedge(environment.now())) {
-            retry.prepaid();
+            retry.markNextPrepaid();
             perform(call.hedge());
         }
     }
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/EntryFrames.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/EntryFrames.java
@@ -1,8 +1,8 @@
 package org.damaskmoor.node.internal.entry;
 
+import org.damaskmoor.core.atmostonce.AttemptId;
 import org.damaskmoor.core.id.RequestId;
 import org.damaskmoor.core.id.TargetId;
-import org.damaskmoor.core.once.AttemptId;
 import org.damaskmoor.schema.mesh.CancelCall;
 import org.damaskmoor.schema.mesh.MeshFrame;
 import org.damaskmoor.schema.mesh.SealRequest;
@@ -15,7 +15,7 @@
         return MeshFrame.newBuilder()
                 .setSeal(
                         SealRequest.newBuilder()
-                                .setRequestId(message(attempt.request()))
+                                .setRequestId(toMessage(attempt.request()))
                                 .setAttempt(attempt.attempt())
                                 .setTargetIncarnation(target.incarnation().value())
                                 .setDeadlineEpochMilliseconds(deadlineEpochMilliseconds))
@@ -26,12 +26,12 @@
         return MeshFrame.newBuilder()
                 .setCancel(
                         CancelCall.newBuilder()
-                                .setRequestId(message(attempt.request()))
+                                .setRequestId(toMessage(attempt.request()))
                                 .setAttempt(attempt.attempt()))
                 .build();
     }
 
-    static org.damaskmoor.schema.mesh.RequestId message(RequestId id) {
+    static org.damaskmoor.schema.mesh.RequestId toMessage(RequestId id) {
         return org.damaskmoor.schema.mesh.RequestId.newBuilder()
                 .setEntryNode(id.entryNode().value())
                 .setEntryIncarnation(id.entryIncarnation().value())
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/EntryDuty.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/EntryProxy.java
@@ -12,7 +12,7 @@
 import org.damaskmoor.core.id.TargetId;
 import org.damaskmoor.mesh.MeshLink;
 import org.damaskmoor.mesh.ring.BoundedMailbox;
-import org.damaskmoor.node.internal.duty.DutyLoop;
+import org.damaskmoor.node.internal.eventloop.EventLoopThread;
 import org.damaskmoor.node.internal.http.CallerLimits;
 import org.damaskmoor.node.internal.http.CallerServer;
 import org.damaskmoor.schema.mesh.MeshFrame;
@@ -24,11 +24,11 @@
  *
  * <p>Thread-safe: everything is handed to the caller event loop.
  */
-public final class EntryDuty {
+public final class EntryProxy {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final int RING_FRAMES = 16_384;
 
-    private final DutyLoop loop;
+    private final EventLoopThread loop;
     private final ServiceRuntimes runtimes;
     private final EntryDispatcher dispatcher;
     private final RequestExplainer explainer;
@@ -45,13 +45,13 @@
      * @param runtimes the services
      * @param parts what the dispatcher works with
      */
-    public EntryDuty(
-            DutyLoop loop,
+    public EntryProxy(
+            EventLoopThread loop,
             NodeId self,
             Incarnation incarnation,
             EntrySettings settings,
             ServiceRuntimes runtimes,
-            EntryParts parts) {
+            EntryDependencies parts) {
         this.loop = loop;
         this.runtimes = runtimes;
         this.explainer = new RequestExplainer(runtimes, parts.clock());
@@ -61,11 +61,11 @@
                         incarnation,
                         settings.limits(),
                         new ConfiguredMatcher(runtimes::matcher),
-                        matched -> runtimes.of(matched.service()),
+                        matched -> runtimes.getOrCreate(matched.service()),
                         parts);
         this.server =
                 new CallerServer(
-                        loop.loop(),
+                        loop.eventLoop(),
                         settings.address(),
                         settings.callerLimits(),
                         settings.stopTimeout(),
@@ -95,8 +95,8 @@
     }
 
     /** Serves on, but tells callers with each reply to connect elsewhere. Any thread. */
-    public void announceClose() {
-        server.announceClose();
+    public void startConnectionDraining() {
+        server.startConnectionDraining();
     }
 
     /** Takes no new connections and finishes the open requests. */
@@ -120,10 +120,10 @@
     }
 
     /** Takes what a peer said of its load in answer to a probe. */
-    public void onLoad(MeshLink link, MeshFrame frame, LongSupplier clock) {
+    public void onLoadReport(MeshLink link, MeshFrame frame, LongSupplier clock) {
         loop.execute(
                 () ->
-                        runtimes.onLoad(
+                        runtimes.onLoadReport(
                                 new TargetId(link.peer(), link.incarnation()),
                                 frame.getLoadProbeAnswer().getLoad(),
                                 clock.getAsLong()));
@@ -140,13 +140,13 @@
     }
 
     /** The members have changed. */
-    public void onMembers() {
-        loop.execute(runtimes::onMembers);
+    public void onMembersChanged() {
+        loop.execute(runtimes::onMembersChanged);
     }
 
     /** The configuration has changed. */
-    public void onConfiguration(ServiceMatcher changed) {
-        loop.execute(() -> runtimes.onConfiguration(changed));
+    public void onConfigurationChanged(ServiceMatcher changed) {
+        loop.execute(() -> runtimes.onConfigurationChanged(changed));
     }
 
     /** Where a request would go now; empty when no such service is in force. */
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/EntryEnvironment.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/ExchangeContext.java
@@ -2,8 +2,8 @@
 
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
+import org.damaskmoor.core.atmostonce.UnknownOutcomeStep;
 import org.damaskmoor.core.id.NodeId;
-import org.damaskmoor.core.once.CallStep;
 import org.damaskmoor.node.internal.http.CallerReply;
 import org.damaskmoor.node.internal.http.OutcomeReplies;
 import org.damaskmoor.node.internal.time.Timers;
@@ -20,10 +20,10 @@
  * @param onFinished told when an exchange needs nothing more
  * @param acceptanceTimeoutMilliseconds silence after which a call is sealed
  */
-record EntryEnvironment(
+record ExchangeContext(
         LongSupplier clock,
         Timers timers,
-        TargetCarrier carrier,
+        TargetFrameSender carrier,
         RefusalRecorder refusals,
         OutcomeListener outcomes,
         Consumer<EntryExchange> onFinished,
@@ -59,11 +59,11 @@
                                         retryAfter)));
     }
 
-    void noteAnswered(CallTemplate template, int status) {
+    void recordAnswered(CallTemplate template, int status) {
         outcomes.onAnswered(template, status);
     }
 
-    void noteUnknown(CallTemplate template, CallStep step, NodeId peer) {
+    void recordUnknown(CallTemplate template, UnknownOutcomeStep step, NodeId peer) {
         outcomes.onUnknown(template, step, peer);
     }
 
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/MeshCarrier.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/MeshFrameSender.java
@@ -14,7 +14,7 @@
  *
  * <p>Thread-safe.
  */
-public final class MeshCarrier implements TargetCarrier {
+public final class MeshFrameSender implements TargetFrameSender {
     private final NodeId self;
     private final MemberDirectory members;
     private final MeshTransport mesh;
@@ -30,7 +30,7 @@
      * @param ownTarget takes frames for this node; false when its ring is full
      * @param onUnsent told of a frame that was certainly not sent
      */
-    public MeshCarrier(
+    public MeshFrameSender(
             NodeId self,
             MemberDirectory members,
             MeshTransport mesh,
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/OutcomeListener.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/OutcomeListener.java
@@ -1,7 +1,7 @@
 package org.damaskmoor.node.internal.entry;
 
+import org.damaskmoor.core.atmostonce.UnknownOutcomeStep;
 import org.damaskmoor.core.id.NodeId;
-import org.damaskmoor.core.once.CallStep;
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /** Told how each request ended, for metrics, logs and service levels. Caller event loop only. */
@@ -13,7 +13,7 @@
     void onRefused(CallTemplate template, RefusalReason reason);
 
     /** The caller was told "unknown". */
-    void onUnknown(CallTemplate template, CallStep step, NodeId peer);
+    void onUnknown(CallTemplate template, UnknownOutcomeStep step, NodeId peer);
 
     /** A listener that tells this one first, then the other. */
     default OutcomeListener andThen(OutcomeListener other) {
@@ -32,7 +32,7 @@
             }
 
             @Override
-            public void onUnknown(CallTemplate template, CallStep step, NodeId peer) {
+            public void onUnknown(CallTemplate template, UnknownOutcomeStep step, NodeId peer) {
                 first.onUnknown(template, step, peer);
                 other.onUnknown(template, step, peer);
             }
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/RequestExplainer.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/RequestExplainer.java
@@ -24,12 +24,12 @@
             return Optional.empty();
         }
         MatchedRule rule = service.findRule(request.method(), request.path());
-        Router router = runtimes.of(new ServiceName(service.name())).router();
+        Router router = runtimes.getOrCreate(new ServiceName(service.name())).router();
         return Optional.of(
                 new RequestExplanation(
                         rule,
                         rule.allows(request.caller()),
                         router.explain(clock.getAsLong()),
-                        router.regionHeadroomGone()));
+                        router.isRegionHeadroomExhausted()));
     }
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/RequestExplanation.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/RequestExplanation.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import org.damaskmoor.core.configuration.MatchedRule;
-import org.damaskmoor.core.routing.CandidateWeight;
+import org.damaskmoor.core.routing.CandidateEstimate;
 
 /**
  * Where a request would go now, and why. Immutable and thread-safe.
@@ -15,7 +15,7 @@
 public record RequestExplanation(
         MatchedRule rule,
         boolean allowed,
-        List<CandidateWeight> candidates,
+        List<CandidateEstimate> candidates,
         boolean regionHeadroomGone) {
     /** Copies the candidates. */
     public RequestExplanation {
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/RetryDecision.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/RetryDecision.java
@@ -25,24 +25,24 @@
     }
 
     /** An attempt ended as "not run". */
-    void afterRefusal(RefusalReason refusalReason, boolean below) {
+    void onRefused(RefusalReason refusalReason, boolean below) {
         refused = true;
         reason = refusalReason;
         refusedBelow |= below;
     }
 
     /** An attempt ended without an answer. */
-    void afterFailure() {
+    void onFailed() {
         refused = false;
     }
 
     /** The next attempt is a hedge, which was paid for already. */
-    void prepaid() {
+    void markNextPrepaid() {
         prepaid = true;
     }
 
     /** Whether the attempt of this number may be sent; takes it out of the budget. */
-    boolean allows(int attempt, DeadlineBudget remaining, long nowNanoseconds) {
+    boolean tryAcquireAttempt(int attempt, DeadlineBudget remaining, long nowNanoseconds) {
         if (prepaid) {
             prepaid = false;
             return true;
@@ -50,12 +50,14 @@
         int ended = attempt - 1;
         boolean allowed =
                 refused
-                        ? RetryRules.afterRefusal(reason, refusedBelow, ended, remaining)
-                        : RetryRules.afterFailure(nonIdempotent, ended, remaining);
+                        ? RetryRules.canRetryAfterRefusal(reason, refusedBelow, ended, remaining)
+                        : RetryRules.canRetryAfterFailure(nonIdempotent, ended, remaining);
         if (!allowed) {
             return false;
         }
-        boolean paid = (refused && RetryRules.free(reason)) || budget.tryTake(nowNanoseconds);
+        boolean paid =
+                (refused && RetryRules.isExemptFromBudget(reason))
+                        || budget.tryAcquire(nowNanoseconds);
         if (!paid) {
             reason = RefusalReason.RETRY_BUDGET_EMPTY;
         }
@@ -63,7 +65,7 @@
     }
 
     /** The reason to give to the caller when nothing ran. */
-    RefusalReason reason() {
+    RefusalReason refusalReason() {
         return reason;
     }
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/SentAttempt.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/SentAttempt.java
@@ -47,7 +47,7 @@
 
     void startTimer(Timers timers, long delayMilliseconds, Runnable task) {
         timer.cancel();
-        timer = timers.after(delayMilliseconds, task);
+        timer = timers.schedule(delayMilliseconds, task);
     }
 
     void stopTimer() {
@@ -58,7 +58,7 @@
         if (end()) {
             noteLatency(runtime);
             if (status >= FIRST_SERVER_ERROR) {
-                runtime.router().onLoadHeard(targetId(), load, clock.getAsLong());
+                runtime.router().onLoadReport(targetId(), load, clock.getAsLong());
                 runtime.router().onFailed(targetId(), elapsed(), clock.getAsLong());
             } else {
                 runtime.router().onAnswered(targetId(), elapsed(), load, clock.getAsLong());
