--- a/node/src/main/java/org/damaskmoor/node/internal/entry/ServiceRuntimes.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/ServiceRuntimes.java
@@ -71,7 +71,7 @@
     }
 
     /** The runtime of a service. */
-    ServiceRuntime of(ServiceName service) {
+    ServiceRuntime getOrCreate(ServiceName service) {
         return runtimes.computeIfAbsent(service, this::create);
     }
 
@@ -81,14 +81,14 @@
     }
 
     /** The configuration has changed: runtimes start anew where their policies did. */
-    public void onConfiguration(ServiceMatcher changed) {
+    public void onConfigurationChanged(ServiceMatcher changed) {
         ServiceMatcher former = matcher;
         matcher = changed;
         runtimes.keySet().removeIf(service -> policiesDiffer(former, changed, service));
     }
 
     /** The members have changed. */
-    public void onMembers() {
+    public void onMembersChanged() {
         long now = clock.getAsLong();
         runtimes.forEach(
                 (service, runtime) ->
@@ -96,11 +96,11 @@
     }
 
     /** A target told of its load in answer to a probe. */
-    public void onLoad(TargetId target, LoadReport load, long nowNanoseconds) {
+    public void onLoadReport(TargetId target, LoadReport load, long nowNanoseconds) {
         members.member(target.node())
                 .filter(member -> !member.getService().isEmpty())
                 .map(member -> runtimes.get(new ServiceName(member.getService())))
-                .ifPresent(runtime -> runtime.router().onLoadHeard(target, load, nowNanoseconds));
+                .ifPresent(runtime -> runtime.router().onLoadReport(target, load, nowNanoseconds));
     }
 
     private static boolean policiesDiffer(
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/TargetCarrier.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/TargetFrameSender.java
@@ -9,7 +9,7 @@
  * <p>Thread-safe. A frame that was certainly not sent comes back through {@link
  * EntryDispatcher#onUnsent}.
  */
-public interface TargetCarrier {
+public interface TargetFrameSender {
     /** Sends a frame over the connection in use. */
     void send(NodeId target, MeshFrame frame);
 
--- a/node/src/main/java/org/damaskmoor/node/internal/duty/DutyLoop.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/eventloop/EventLoopThread.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.node.internal.duty;
+package org.damaskmoor.node.internal.eventloop;
 
 import com.google.common.flogger.FluentLogger;
 import io.activej.eventloop.Eventloop;
@@ -12,7 +12,7 @@
  * <p>Thread-safe; tasks run on the duty's thread. Invariant: a task that fails is logged and does
  * not end the loop.
  */
-public final class DutyLoop {
+public final class EventLoopThread {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final long STOP_MILLISECONDS = 2_000;
 
@@ -20,7 +20,7 @@
     private final Thread thread;
 
     /** Starts the thread of the duty with the given name. */
-    public DutyLoop(String name) {
+    public EventLoopThread(String name) {
         loop =
                 Eventloop.builder()
                         .withThreadName(name)
@@ -36,7 +36,7 @@
     }
 
     /** The event loop, for servers and clients that run on it. */
-    public Eventloop loop() {
+    public Eventloop eventLoop() {
         return loop;
     }
 
--- a/node/src/main/java/org/damaskmoor/node/internal/http/CallerListener.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/CallerAcceptor.java
@@ -8,19 +8,19 @@
 import java.util.function.BiConsumer;
 
 /** Accepts callers' connections and hands each on. Confined to the caller event loop. */
-final class CallerListener extends AbstractReactiveServer {
+final class CallerAcceptor extends AbstractReactiveServer {
     private final BiConsumer<ITcpSocket, InetAddress> connections;
 
-    private CallerListener(NioReactor loop, BiConsumer<ITcpSocket, InetAddress> connections) {
+    private CallerAcceptor(NioReactor loop, BiConsumer<ITcpSocket, InetAddress> connections) {
         super(loop);
         this.connections = connections;
     }
 
-    static CallerListener at(
+    static CallerAcceptor at(
             NioReactor loop,
             InetSocketAddress address,
             BiConsumer<ITcpSocket, InetAddress> connections) {
-        return new CallerListener(loop, connections).new Builder(address).build();
+        return new CallerAcceptor(loop, connections).new Builder(address).build();
     }
 
     @Override
@@ -28,7 +28,7 @@
         connections.accept(socket, remote);
     }
 
-    private final class Builder extends AbstractReactiveServer.Builder<Builder, CallerListener> {
+    private final class Builder extends AbstractReactiveServer.Builder<Builder, CallerAcceptor> {
         Builder(InetSocketAddress address) {
             withListenAddress(address);
         }
--- a/node/src/main/java/org/damaskmoor/node/internal/http/CallerHandler.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/CallerRequestHandler.java
@@ -4,7 +4,7 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /** Leads callers' requests to their replies. Called on the caller event loop. */
-public interface CallerHandler {
+public interface CallerRequestHandler {
     /**
      * Leads a request to its reply.
      *
@@ -15,5 +15,5 @@
     Runnable handle(CallerRequest request, Consumer<CallerReply> reply);
 
     /** Accounts for and answers a request that could not even be read. */
-    void refuseUnread(String caller, RefusalReason reason, Consumer<CallerReply> reply);
+    void refuseUnparsed(String caller, RefusalReason reason, Consumer<CallerReply> reply);
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/http/CallerResponses.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/CallerResponses.java
@@ -17,7 +17,7 @@
     private CallerResponses() {}
 
     /** Whether the reply must not name the length of its body. */
-    static boolean hasNoLength(CallerReply reply, boolean head) {
+    static boolean omitsContentLength(CallerReply reply, boolean head) {
         boolean named =
                 reply.headers().stream()
                         .anyMatch(field -> field.getName().equalsIgnoreCase("Content-Length"));
@@ -30,7 +30,7 @@
             boolean length = field.getName().equalsIgnoreCase("Content-Length");
             if (FieldSyntax.isName(field.getName()) && (head || !length)) {
                 response.withHeader(
-                        HttpHeaders.of(field.getName()), FieldSyntax.cleaned(field.getValue()));
+                        HttpHeaders.of(field.getName()), FieldSyntax.sanitize(field.getValue()));
             }
         }
         if (!head && !reply.body().isEmpty()) {
--- a/node/src/main/java/org/damaskmoor/node/internal/http/CallerServer.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/CallerServer.java
@@ -36,12 +36,12 @@
 
     private final Eventloop loop;
     private final CallerLimits limits;
-    private final CallerHandler handler;
+    private final CallerRequestHandler handler;
     private final LongSupplier clock;
-    private final CallerListener listener;
+    private final CallerAcceptor listener;
     private final HttpServer server;
-    private final UnreadRefusals refusals;
-    private final CallerConnections connections;
+    private final ConnectionRefuser refusals;
+    private final ConnectionLimiter connections;
     private CallerSocket accepting;
     private volatile boolean closing;
 
@@ -60,15 +60,15 @@
             InetSocketAddress address,
             CallerLimits limits,
             Duration stopTimeout,
-            CallerHandler handler,
+            CallerRequestHandler handler,
             LongSupplier clock) {
         this.loop = loop;
         this.limits = limits;
         this.handler = handler;
         this.clock = clock;
-        this.refusals = new UnreadRefusals(handler);
-        this.connections = new CallerConnections(limits);
-        this.listener = CallerListener.at(loop, address, this::accept);
+        this.refusals = new ConnectionRefuser(handler);
+        this.connections = new ConnectionLimiter(limits);
+        this.listener = CallerAcceptor.at(loop, address, this::accept);
         this.server =
                 HttpServer.builder(loop, this::serve)
                         .withReadWriteTimeout(READ_WRITE_TIMEOUT)
@@ -79,7 +79,8 @@
                                 new ConnectionInspector(
                                         connection -> connection.setUserData(accepting),
                                         (connection, head) ->
-                                                refusals.refuseHead(socket(connection), head)))
+                                                refusals.refuseUnparsableHead(
+                                                        socket(connection), head)))
                         .build();
     }
 
@@ -89,7 +90,7 @@
     }
 
     /** Tells callers from now on, with each reply, to connect elsewhere. Any thread. */
-    public void announceClose() {
+    public void startConnectionDraining() {
         closing = true;
     }
 
@@ -112,25 +113,25 @@
     }
 
     private void accept(ITcpSocket raw, InetAddress remote) {
-        Optional<RefusalReason> tooMany = connections.open(remote);
-        CallerSocket socket = new CallerSocket(loop, raw, () -> connections.close(remote));
+        Optional<RefusalReason> tooMany = connections.register(remote);
+        CallerSocket socket = new CallerSocket(loop, raw, () -> connections.unregister(remote));
         if (tooMany.isPresent()) {
             refusals.refuse(socket, remote.getHostAddress(), tooMany.get());
             return;
         }
-        socket.whenMalformed(
+        socket.onMalformedRequest(
                 () ->
                         refusals.refuse(
-                                socket, RequestChecks.UNKNOWN_CALLER, RefusalReason.MALFORMED));
+                                socket, RequestValidator.UNKNOWN_CALLER, RefusalReason.MALFORMED));
         accepting = socket;
         HttpConnections.serve(server, socket, remote);
     }
 
     private Promise<HttpResponse> serve(HttpRequest request) {
         CallerSocket socket = socket(request.getConnection());
-        Optional<RefusalReason> fault = RequestChecks.fault(request, limits.bodyBytes());
+        Optional<RefusalReason> fault = RequestValidator.validate(request, limits.bodyBytes());
         if (fault.isPresent()) {
-            refusals.refuse(socket, RequestChecks.callerName(request), fault.get());
+            refusals.refuse(socket, RequestValidator.callerName(request), fault.get());
             return Promise.ofException(new RequestRefusedException());
         }
         SettablePromise<HttpResponse> response = new SettablePromise<>();
@@ -140,17 +141,17 @@
 
     private void readBody(
             HttpRequest request, CallerSocket socket, SettablePromise<HttpResponse> response) {
-        String caller = RequestChecks.callerName(request);
+        String caller = RequestValidator.callerName(request);
         boolean head = request.getMethod() == HttpMethod.HEAD;
         CallerRequest withoutBody = withoutBody(request);
-        socket.whenMalformed(() -> refusals.refuse(socket, caller, RefusalReason.MALFORMED));
-        socket.bodyWanted(true);
+        socket.onMalformedRequest(() -> refusals.refuse(socket, caller, RefusalReason.MALFORMED));
+        socket.setReadingBody(true);
         BodyReader.read(
                 loop,
                 request,
                 limits.bodyBytes(),
                 body -> {
-                    socket.bodyWanted(false);
+                    socket.setReadingBody(false);
                     CallerRequest whole = withoutBody.withBody(body, clock.getAsLong());
                     dispatch(whole, head, socket, response);
                 },
@@ -169,11 +170,11 @@
                 handler.handle(
                         request,
                         reply -> {
-                            socket.unwatch();
+                            socket.stopWatching();
                             response.trySet(response(reply, head, socket));
                         });
         if (!response.isComplete()) {
-            socket.watch(
+            socket.watchForDisconnect(
                     () -> {
                         cancellation.run();
                         response.trySet(HttpResponse.ofCode(CLIENT_CLOSED).build());
@@ -200,8 +201,8 @@
 
     private HttpResponse response(CallerReply reply, boolean head, CallerSocket socket) {
         HttpResponse.Builder response = CallerResponses.of(reply, head);
-        if (CallerResponses.hasNoLength(reply, head)) {
-            socket.omitLength();
+        if (CallerResponses.omitsContentLength(reply, head)) {
+            socket.omitContentLength();
         }
         if (closing) {
             socket.closeAfterReply();
--- a/node/src/main/java/org/damaskmoor/node/internal/http/CallerSocket.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/CallerSocket.java
@@ -13,7 +13,7 @@
  * A caller's connection below the HTTP library. Adds to a plain socket what the library leaves out:
  *
  * <ul>
- *   <li>{@link #watch} notices a caller that goes while its request waits;
+ *   <li>{@link #watchForDisconnect} notices a caller that goes while its request waits;
  *   <li>{@link #beginRefusal} takes the connection from the library, which would close it or answer
  *       without a body, so that a refusal of an unreadable request reaches its caller whole;
  *   <li>{@link #closeAfterReply} keeps the promise of {@code Connection: close}.
@@ -53,25 +53,25 @@
         this.onClosed = onClosed;
     }
 
-    /** Calls back when the caller closes its side before {@link #unwatch}. */
-    void watch(Runnable whenGone) {
+    /** Calls back when the caller closes its side before {@link #stopWatching}. */
+    void watchForDisconnect(Runnable whenGone) {
         onGone = whenGone;
         if (!reading && ahead == null) {
             startReading();
         }
     }
 
-    void unwatch() {
+    void stopWatching() {
         onGone = null;
     }
 
     /** How to refuse a request that the library finds malformed. */
-    void whenMalformed(Runnable refusal) {
+    void onMalformedRequest(Runnable refusal) {
         onMalformed = refusal;
     }
 
     /** Whether a body is being read: it is malformed, too, when the connection is given up. */
-    void bodyWanted(boolean wantsBody) {
+    void setReadingBody(boolean wantsBody) {
         bodyWanted = wantsBody;
     }
 
@@ -83,7 +83,7 @@
     }
 
     /** The reply that is written next has no body and names no length (RFC 9110, section 8.6). */
-    void omitLength() {
+    void omitContentLength() {
         omitsLength = true;
     }
 
@@ -132,7 +132,7 @@
         if (state == State.OPEN || state == State.LAST_REPLY) {
             boolean omits = omitsLength && buffer != null;
             omitsLength = false;
-            return socket.write(omits ? WireReply.withoutZeroLength(buffer) : buffer);
+            return socket.write(omits ? ResponseBytes.removeZeroContentLength(buffer) : buffer);
         }
         if (buffer != null) {
             buffer.recycle();
--- a/node/src/main/java/org/damaskmoor/node/internal/http/CallerConnections.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/ConnectionLimiter.java
@@ -9,20 +9,20 @@
 /**
  * Counts callers' connections and says which are too many.
  *
- * <p>Confined to the caller event loop. Invariant: the counts are those of {@link #open} less those
- * of {@link #close}, and an address without connections takes no memory.
+ * <p>Confined to the caller event loop. Invariant: the counts are those of {@link #register} less
+ * those of {@link #unregister}, and an address without connections takes no memory.
  */
-final class CallerConnections {
+final class ConnectionLimiter {
     private final CallerLimits limits;
     private final Map<InetAddress, Integer> byAddress = new HashMap<>();
     private int all;
 
-    CallerConnections(CallerLimits limits) {
+    ConnectionLimiter(CallerLimits limits) {
         this.limits = limits;
     }
 
     /** Counts a connection; returns why it is one too many, if it is. */
-    Optional<RefusalReason> open(InetAddress address) {
+    Optional<RefusalReason> register(InetAddress address) {
         all++;
         int ofCaller = byAddress.merge(address, 1, Integer::sum);
         if (ofCaller > limits.connectionsPerCaller()) {
@@ -32,7 +32,7 @@
     }
 
     /** A counted connection is closed. */
-    void close(InetAddress address) {
+    void unregister(InetAddress address) {
         all--;
         byAddress.computeIfPresent(address, (key, count) -> count > 1 ? count - 1 : null);
     }
--- a/node/src/main/java/org/damaskmoor/node/internal/http/UnreadRefusals.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/ConnectionRefuser.java
@@ -9,20 +9,20 @@
  * <p>Confined to the caller event loop. Invariant: a connection is refused, and accounted for,
  * once.
  */
-final class UnreadRefusals {
+final class ConnectionRefuser {
     private static final int FIELDS_TOO_LARGE = 431;
 
-    private final CallerHandler handler;
+    private final CallerRequestHandler handler;
 
-    UnreadRefusals(CallerHandler handler) {
+    ConnectionRefuser(CallerRequestHandler handler) {
         this.handler = handler;
     }
 
     /** Refuses what stands in the head of a request. */
-    void refuseHead(CallerSocket socket, byte[] head) {
-        RefusalReason reason = RequestChecks.unreadable(head);
+    void refuseUnparsableHead(CallerSocket socket, byte[] head) {
+        RefusalReason reason = RequestValidator.classifyUnparsableHead(head);
         boolean large = reason == RefusalReason.TOO_LARGE;
-        refuse(socket, RequestChecks.UNKNOWN_CALLER, reason, large ? FIELDS_TOO_LARGE : 0);
+        refuse(socket, RequestValidator.UNKNOWN_CALLER, reason, large ? FIELDS_TOO_LARGE : 0);
     }
 
     /** Refuses a request, and what may follow on its connection. */
@@ -32,13 +32,13 @@
 
     private void refuse(CallerSocket socket, String caller, RefusalReason reason, int status) {
         if (socket.beginRefusal()) {
-            handler.refuseUnread(
+            handler.refuseUnparsed(
                     caller,
                     reason,
                     reply -> {
                         CallerReply sent =
                                 status == 0 ? reply : OutcomeReplies.withStatus(reply, status);
-                        socket.finishRefusal(WireReply.lastBytes(sent));
+                        socket.finishRefusal(ResponseBytes.closingResponse(sent));
                     });
         }
     }
--- a/node/src/main/java/org/damaskmoor/node/internal/http/FieldSyntax.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/FieldSyntax.java
@@ -23,7 +23,7 @@
     }
 
     /** The value with a space in place of each control character. */
-    static String cleaned(String value) {
+    static String sanitize(String value) {
         if (isValue(value)) {
             return value;
         }
--- a/node/src/main/java/org/damaskmoor/node/internal/http/HeaderFields.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/HeaderFields.java
@@ -47,18 +47,18 @@
             }
             boolean endToEnd = !HOP_BY_HOP.contains(lowerCase) && !named.contains(lowerCase);
             if (endToEnd && FieldSyntax.isName(name)) {
-                fields.add(field(name, FieldSyntax.cleaned(entry.getValue().toString())));
+                fields.add(field(name, FieldSyntax.sanitize(entry.getValue().toString())));
             }
         }
         return fields;
     }
 
     /** The end-to-end fields of an answer, and its length, which an answer to HEAD passes on. */
-    public static List<HeaderField> ofAnswer(HttpMessage answer) {
+    public static List<HeaderField> ofResponse(HttpMessage answer) {
         List<HeaderField> fields = endToEnd(answer);
         String length = answer.getHeader(HttpHeaders.CONTENT_LENGTH);
         if (length != null && answer.getHeader(HttpHeaders.CONTENT_ENCODING) == null) {
-            fields.add(field("Content-Length", FieldSyntax.cleaned(length)));
+            fields.add(field("Content-Length", FieldSyntax.sanitize(length)));
         }
         return fields;
     }
--- a/node/src/main/java/org/damaskmoor/node/internal/http/RequestPath.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/RequestPath.java
@@ -19,7 +19,7 @@
     private RequestPath() {}
 
     /** Whether the path means the same to every reader. */
-    static boolean isPlain(String path) {
+    static boolean isUnambiguous(String path) {
         String lowerCase = path.toLowerCase(Locale.ROOT);
         return TAKEN.matcher(path).matches()
                 && !path.contains("//")
--- a/node/src/main/java/org/damaskmoor/node/internal/http/RequestChecks.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/RequestValidator.java
@@ -12,7 +12,7 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /** Checks that the HTTP library leaves to its user. Stateless and thread-safe. */
-final class RequestChecks {
+final class RequestValidator {
     static final String UNKNOWN_CALLER = "unknown";
 
     private static final HttpHeader CALLER = HttpHeaders.of("Damaskmoor-Caller");
@@ -20,10 +20,10 @@
     private static final Pattern QUERY = Pattern.compile("[\\x21-\\x7e&&[^#]]*");
     private static final Pattern LENGTH = Pattern.compile("[0-9]{1,18}");
 
-    private RequestChecks() {}
+    private RequestValidator() {}
 
     /** Why a request whose head was read must be refused before its body is read, if so. */
-    static Optional<RefusalReason> fault(HttpRequest request, int maximumBodyBytes) {
+    static Optional<RefusalReason> validate(HttpRequest request, int maximumBodyBytes) {
         if (!hasCertainEnd(request) || !hasOneHost(request) || !isTargetPlain(request)) {
             return Optional.of(RefusalReason.MALFORMED);
         }
@@ -39,7 +39,7 @@
      * Why a head that the library could not read is refused: it is too large when a line is longer,
      * or the lines are more, than the library's bounds.
      */
-    static RefusalReason unreadable(byte[] head) {
+    static RefusalReason classifyUnparsableHead(byte[] head) {
         int lines = 0;
         int lineStart = 0;
         for (int i = 0; i < head.length; i++) {
@@ -90,7 +90,7 @@
                         ? url.startsWith("/") || url.contains("://")
                         : url.equals("http://" + host + request.getPathAndQuery());
         return sameHost
-                && RequestPath.isPlain(request.getPath())
+                && RequestPath.isUnambiguous(request.getPath())
                 && (query == null || QUERY.matcher(query).matches())
                 && (request.getFragment() == null || request.getFragment().isEmpty());
     }
--- a/node/src/main/java/org/damaskmoor/node/internal/http/WireReply.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/ResponseBytes.java
@@ -6,15 +6,15 @@
 import org.damaskmoor.schema.mesh.HeaderField;
 
 /** Replies as bytes, where the HTTP library does not write them right. Stateless, thread-safe. */
-final class WireReply {
-    private WireReply() {}
+final class ResponseBytes {
+    private ResponseBytes() {}
 
     /** The reply with its length and {@code Connection: close}. */
-    static byte[] lastBytes(CallerReply reply) {
+    static byte[] closingResponse(CallerReply reply) {
         StringBuilder head = new StringBuilder("HTTP/1.1 ");
         head.append(reply.status()).append(" Refused\r\n");
         for (HeaderField field : reply.headers()) {
-            line(head, field.getName(), FieldSyntax.cleaned(field.getValue()));
+            line(head, field.getName(), FieldSyntax.sanitize(field.getValue()));
         }
         line(head, "Content-Length", Integer.toString(reply.body().size()));
         line(head, "Connection", "close");
@@ -26,7 +26,7 @@
     }
 
     /** A head without the "Content-Length: 0" that the library adds to each reply without body. */
-    static ByteBuf withoutZeroLength(ByteBuf head) {
+    static ByteBuf removeZeroContentLength(ByteBuf head) {
         String text = head.asString(StandardCharsets.ISO_8859_1);
         String without = text.replaceFirst("(?i)\r\nContent-Length: 0(?=\r\n)", "");
         return ByteBuf.wrapForReading(without.getBytes(StandardCharsets.ISO_8859_1));
--- a/node/src/main/java/org/damaskmoor/node/internal/load/LoadMeasuring.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/load/LoadMeasurementFactory.java
@@ -4,8 +4,8 @@
 import java.util.function.LongSupplier;
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.core.id.RegionName;
-import org.damaskmoor.node.internal.duty.DutyLoop;
-import org.damaskmoor.node.internal.entry.TargetCarrier;
+import org.damaskmoor.node.internal.entry.TargetFrameSender;
+import org.damaskmoor.node.internal.eventloop.EventLoopThread;
 import org.damaskmoor.node.internal.members.MemberDirectory;
 import org.damaskmoor.schema.settings.NodeSettings;
 
@@ -14,10 +14,10 @@
  *
  * <p>Immutable and thread-safe; what it makes belongs to one duty each.
  */
-public final class LoadMeasuring {
+public final class LoadMeasurementFactory {
     private final NodeSettings settings;
     private final MemberDirectory members;
-    private final MeasuringCounters counters;
+    private final MeasurementCounters counters;
     private final LongSupplier clock;
 
     /**
@@ -28,20 +28,20 @@
      * @param members says which nodes stand in other regions
      * @param clock the monotonic clock, in nanoseconds
      */
-    public LoadMeasuring(
+    public LoadMeasurementFactory(
             NodeSettings settings,
             MetricRegistry metrics,
             MemberDirectory members,
             LongSupplier clock) {
         this.settings = settings;
         this.members = members;
-        this.counters = new MeasuringCounters(metrics);
+        this.counters = new MeasurementCounters(metrics);
         this.clock = clock;
     }
 
     /** The reports of the target part. */
-    public LoadReports reports() {
-        return new LoadReports(
+    public LoadReportLimiter createReportLimiter() {
+        return new LoadReportLimiter(
                 new NodeId(settings.getNodeId()),
                 peer -> !members.isInRegion(peer, settings.getRegion()),
                 settings.getMeasuringBytesPerSecond(),
@@ -50,16 +50,16 @@
     }
 
     /** The probes of the entry part, which are sent from now on. */
-    public LoadProbes probes(DutyLoop loop, TargetCarrier carrier) {
-        LoadProbes probes =
-                new LoadProbes(
+    public LoadProber startProber(EventLoopThread loop, TargetFrameSender carrier) {
+        LoadProber probes =
+                new LoadProber(
                         new NodeId(settings.getNodeId()),
                         new RegionName(settings.getRegion()),
                         settings.getMeasuringBytesPerSecond(),
                         counters,
                         carrier::send,
                         clock);
-        loop.every(LoadProbes.TICK_MILLISECONDS, probes::tick);
+        loop.every(LoadProber.TICK_MILLISECONDS, probes::tick);
         return probes;
     }
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/load/LoadProbes.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/load/LoadProber.java
@@ -8,8 +8,8 @@
 import org.damaskmoor.core.id.RegionName;
 import org.damaskmoor.core.id.ServiceName;
 import org.damaskmoor.core.id.TargetId;
-import org.damaskmoor.core.load.MeasuringBudget;
-import org.damaskmoor.core.load.MeasuringKind;
+import org.damaskmoor.core.load.MeasurementBudget;
+import org.damaskmoor.core.load.MeasurementKind;
 import org.damaskmoor.core.load.ProbePlanner;
 import org.damaskmoor.core.routing.Router;
 import org.damaskmoor.schema.mesh.LoadProbe;
@@ -25,14 +25,14 @@
  *
  * <p>Confined to the caller event loop. Invariant: all services share one budget.
  */
-public final class LoadProbes {
+public final class LoadProber {
     /** How often {@link #tick} is to be called. */
     public static final long TICK_MILLISECONDS = 100;
 
     private final NodeId self;
     private final RegionName region;
-    private final MeasuringBudget budget;
-    private final MeasuringCounters counters;
+    private final MeasurementBudget budget;
+    private final MeasurementCounters counters;
     private final BiConsumer<NodeId, MeshFrame> sender;
     private final LongSupplier clock;
     private final Map<ServiceName, ProbePlanner> planners = new HashMap<>();
@@ -48,26 +48,26 @@
      * @param sender sends a frame to a node
      * @param clock the monotonic clock, in nanoseconds
      */
-    public LoadProbes(
+    public LoadProber(
             NodeId self,
             RegionName region,
             long bytesPerSecond,
-            MeasuringCounters counters,
+            MeasurementCounters counters,
             BiConsumer<NodeId, MeshFrame> sender,
             LongSupplier clock) {
         this.self = self;
         this.region = region;
-        this.budget = new MeasuringBudget(bytesPerSecond, clock.getAsLong());
+        this.budget = new MeasurementBudget(bytesPerSecond, clock.getAsLong());
         this.counters = counters;
         this.sender = sender;
         this.clock = clock;
     }
 
     /** The router of a service, watched for what it hears of its targets. */
-    public Router around(ServiceName service, Router router) {
+    public Router wrap(ServiceName service, Router router) {
         ProbePlanner planner = new ProbePlanner(region, budget);
         planners.put(service, planner);
-        return new WatchedRouter(router, planner, self);
+        return new ProbeTrackingRouter(router, planner, self);
     }
 
     /** Sends the probes that are due. */
@@ -75,7 +75,7 @@
         long now = clock.getAsLong();
         for (ProbePlanner planner : planners.values()) {
             for (TargetId target : planner.plan(now)) {
-                counters.withinRegion(MeasuringKind.PROBE, ProbePlanner.PROBE_BYTES);
+                counters.countWithinRegion(MeasurementKind.PROBE, ProbePlanner.PROBE_BYTES);
                 sender.accept(target.node(), probe());
             }
         }
--- a/node/src/main/java/org/damaskmoor/node/internal/load/LoadReports.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/load/LoadReportLimiter.java
@@ -3,8 +3,8 @@
 import java.util.function.LongSupplier;
 import java.util.function.Predicate;
 import org.damaskmoor.core.id.NodeId;
-import org.damaskmoor.core.load.MeasuringBudget;
-import org.damaskmoor.core.load.MeasuringKind;
+import org.damaskmoor.core.load.MeasurementBudget;
+import org.damaskmoor.core.load.MeasurementKind;
 import org.damaskmoor.schema.mesh.LoadReport;
 
 /**
@@ -13,7 +13,7 @@
  * <p>Confined to the upstream event loop. Invariant: bytes of reports to other nodes stay within
  * the budget; without budget an answer carries an empty report, which says nothing.
  */
-public final class LoadReports {
+public final class LoadReportLimiter {
     /** What a node may spend on measuring in all. */
     public static final long MEASURING_BYTES_PER_SECOND = 3_000;
 
@@ -22,8 +22,8 @@
 
     private final NodeId self;
     private final Predicate<NodeId> inOtherRegion;
-    private final MeasuringBudget budget;
-    private final MeasuringCounters counters;
+    private final MeasurementBudget budget;
+    private final MeasurementCounters counters;
     private final LongSupplier clock;
 
     /**
@@ -35,16 +35,16 @@
      * @param counters counts what was spent
      * @param clock the monotonic clock, in nanoseconds
      */
-    public LoadReports(
+    public LoadReportLimiter(
             NodeId self,
             Predicate<NodeId> inOtherRegion,
             long probeBytesPerSecond,
-            MeasuringCounters counters,
+            MeasurementCounters counters,
             LongSupplier clock) {
         this.self = self;
         this.inOtherRegion = inOtherRegion;
         this.budget =
-                new MeasuringBudget(
+                new MeasurementBudget(
                         Math.max(0, MEASURING_BYTES_PER_SECOND - probeBytesPerSecond),
                         clock.getAsLong());
         this.counters = counters;
@@ -57,13 +57,13 @@
             return report;
         }
         int bytes = FIELD_BYTES + report.getSerializedSize();
-        if (!budget.trySpend(MeasuringKind.REPORT, bytes, clock.getAsLong())) {
+        if (!budget.trySpend(MeasurementKind.REPORT, bytes, clock.getAsLong())) {
             return LoadReport.getDefaultInstance();
         }
         if (peer != null && inOtherRegion.test(peer)) {
-            counters.overPaidLink(MeasuringKind.REPORT, bytes);
+            counters.countOverPaidLink(MeasurementKind.REPORT, bytes);
         } else {
-            counters.withinRegion(MeasuringKind.REPORT, bytes);
+            counters.countWithinRegion(MeasurementKind.REPORT, bytes);
         }
         return report;
     }
--- a/node/src/main/java/org/damaskmoor/node/internal/load/MeasuringCounters.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/load/MeasurementCounters.java
@@ -2,7 +2,7 @@
 
 import com.codahale.metrics.MetricRegistry;
 import java.util.Locale;
-import org.damaskmoor.core.load.MeasuringKind;
+import org.damaskmoor.core.load.MeasurementKind;
 import org.damaskmoor.node.internal.metrics.NodeMetric;
 
 /**
@@ -10,29 +10,29 @@
  *
  * <p>Thread-safe.
  */
-public final class MeasuringCounters {
+public final class MeasurementCounters {
     private final MetricRegistry registry;
 
-    public MeasuringCounters(MetricRegistry registry) {
+    public MeasurementCounters(MetricRegistry registry) {
         this.registry = registry;
-        for (MeasuringKind kind : MeasuringKind.values()) {
+        for (MeasurementKind kind : MeasurementKind.values()) {
             registry.counter(name(NodeMetric.MEASURING_BYTES, kind));
             registry.counter(name(NodeMetric.PAID_LINK_MEASURING_BYTES, kind));
         }
     }
 
     /** Bytes were sent to a node of the own region. */
-    void withinRegion(MeasuringKind kind, int bytes) {
+    void countWithinRegion(MeasurementKind kind, int bytes) {
         registry.counter(name(NodeMetric.MEASURING_BYTES, kind)).inc(bytes);
     }
 
     /** Bytes were sent to another region. */
-    void overPaidLink(MeasuringKind kind, int bytes) {
-        withinRegion(kind, bytes);
+    void countOverPaidLink(MeasurementKind kind, int bytes) {
+        countWithinRegion(kind, bytes);
         registry.counter(name(NodeMetric.PAID_LINK_MEASURING_BYTES, kind)).inc(bytes);
     }
 
-    private static String name(NodeMetric metric, MeasuringKind kind) {
-        return metric.with("kind", kind.name().toLowerCase(Locale.ROOT));
+    private static String name(NodeMetric metric, MeasurementKind kind) {
+        return metric.withLabel("kind", kind.name().toLowerCase(Locale.ROOT));
     }
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/load/WatchedRouter.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/load/ProbeTrackingRouter.java
@@ -8,11 +8,11 @@
 import org.damaskmoor.core.id.TargetId;
 import org.damaskmoor.core.load.ProbePlanner;
 import org.damaskmoor.core.load.RegionSummary;
-import org.damaskmoor.core.routing.CandidateWeight;
+import org.damaskmoor.core.routing.CandidateEstimate;
 import org.damaskmoor.core.routing.Choice;
 import org.damaskmoor.core.routing.KeyScope;
-import org.damaskmoor.core.routing.RequestView;
 import org.damaskmoor.core.routing.Router;
+import org.damaskmoor.core.routing.RoutingRequest;
 import org.damaskmoor.core.routing.Target;
 import org.damaskmoor.schema.mesh.LoadReport;
 import org.damaskmoor.schema.mesh.RefusalReason;
@@ -23,12 +23,12 @@
  * <p>Confined to the caller event loop. Invariant: an empty report counts as not heard; the node
  * never probes itself.
  */
-final class WatchedRouter implements Router {
+final class ProbeTrackingRouter implements Router {
     private final Router router;
     private final ProbePlanner planner;
     private final NodeId self;
 
-    WatchedRouter(Router router, ProbePlanner planner, NodeId self) {
+    ProbeTrackingRouter(Router router, ProbePlanner planner, NodeId self) {
         this.self = self;
         this.router = router;
         this.planner = planner;
@@ -36,7 +36,7 @@
 
     private void heard(TargetId target, LoadReport load, long now) {
         if (load.getLimit() > 0) {
-            planner.onHeard(target, now);
+            planner.onLoadReport(target, now);
         }
     }
 
@@ -68,13 +68,13 @@
     }
 
     @Override
-    public void onLoadHeard(TargetId target, LoadReport load, long now) {
+    public void onLoadReport(TargetId target, LoadReport load, long now) {
         heard(target, load, now);
-        router.onLoadHeard(target, load, now);
+        router.onLoadReport(target, load, now);
     }
 
     @Override
-    public Optional<Choice> choose(RequestView request, Set<NodeId> excluded, long now) {
+    public Optional<Choice> choose(RoutingRequest request, Set<NodeId> excluded, long now) {
         return router.choose(request, excluded, now);
     }
 
@@ -95,8 +95,8 @@
     }
 
     @Override
-    public void onSummaryHeard(RegionSummary summary, long now) {
-        router.onSummaryHeard(summary, now);
+    public void onRegionSummary(RegionSummary summary, long now) {
+        router.onRegionSummary(summary, now);
     }
 
     @Override
@@ -105,12 +105,12 @@
     }
 
     @Override
-    public List<CandidateWeight> explain(long now) {
+    public List<CandidateEstimate> explain(long now) {
         return router.explain(now);
     }
 
     @Override
-    public boolean regionHeadroomGone() {
-        return router.regionHeadroomGone();
+    public boolean isRegionHeadroomExhausted() {
+        return router.isRegionHeadroomExhausted();
     }
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/members/MembershipDuty.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/members/MembershipManager.java
@@ -25,7 +25,7 @@
  *
  * <p>Confined to the control event loop.
  */
-public final class MembershipDuty {
+public final class MembershipManager {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final long JOIN_RETRY_MILLISECONDS = 1_000;
     private static final long JOIN_POINT_CHECK_MILLISECONDS = 15_000;
@@ -37,7 +37,7 @@
     private static final long PUBLISH_MILLISECONDS = 50;
 
     private final MembershipProtocol protocol;
-    private final JoinPoints joinPoints;
+    private final SeedNodeRegistry joinPoints;
     private final MemberDirectory directory;
     private final MembershipListener listener;
     private final Executor control;
@@ -79,11 +79,11 @@
      * @param milliseconds a monotonic clock
      * @param random chooses whom to probe
      */
-    public MembershipDuty(
+    public MembershipManager(
             MemberRecord self,
             DatagramSender sender,
             GossipExtension extension,
-            JoinPoints joinPoints,
+            SeedNodeRegistry joinPoints,
             MemberDirectory directory,
             MembershipListener listener,
             Executor control,
@@ -163,16 +163,16 @@
 
     private void keepJoinPoint() {
         joinPoints
-                .keep(protocol.self(), directory::isCurrent)
-                .exceptionally(MembershipDuty::logTableFailure);
+                .registerIfNeeded(protocol.self(), directory::isCurrent)
+                .exceptionally(MembershipManager::logTableFailure);
     }
 
     private void joinThroughTable() {
         joinPoints
-                .read(protocol.self())
+                .readAddresses(protocol.self())
                 .thenAcceptAsync(
                         addresses -> protocol.join(addresses, milliseconds.getAsLong()), control)
-                .exceptionally(MembershipDuty::logTableFailure);
+                .exceptionally(MembershipManager::logTableFailure);
     }
 
     private static Void logTableFailure(Throwable failure) {
--- a/node/src/main/java/org/damaskmoor/node/internal/members/JoinPoints.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/members/SeedNodeRegistry.java
@@ -21,7 +21,7 @@
  *
  * <p>Thread-safe.
  */
-public final class JoinPoints {
+public final class SeedNodeRegistry {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final String TABLE = "join-points";
     private static final int ROWS_FOR_EACH_DATA_CENTRE = 3;
@@ -29,12 +29,12 @@
 
     private final TableService tables;
 
-    public JoinPoints(TableService tables) {
+    public SeedNodeRegistry(TableService tables) {
         this.tables = tables;
     }
 
     /** Reads the gossip addresses of the join points, without the node's own. */
-    public CompletableFuture<List<InetSocketAddress>> read(MemberRecord self) {
+    public CompletableFuture<List<InetSocketAddress>> readAddresses(MemberRecord self) {
         return tables.list(TABLE, "", "", MAXIMUM_ROWS).thenApply(rows -> addresses(rows, self));
     }
 
@@ -44,12 +44,13 @@
      * @param self this node's record
      * @param isMember whether a record's node is a member now; called on the platform's thread
      */
-    public CompletableFuture<Void> keep(MemberRecord self, Predicate<MemberRecord> isMember) {
+    public CompletableFuture<Void> registerIfNeeded(
+            MemberRecord self, Predicate<MemberRecord> isMember) {
         return tables.list(TABLE, self.getDataCentre() + ".", "", MAXIMUM_ROWS)
-                .thenCompose(rows -> keep(self, isMember, rows));
+                .thenCompose(rows -> registerIfNeeded(self, isMember, rows));
     }
 
-    private CompletableFuture<Void> keep(
+    private CompletableFuture<Void> registerIfNeeded(
             MemberRecord self, Predicate<MemberRecord> isMember, List<Row> rows) {
         int valid = 0;
         List<Row> gone = new ArrayList<>();
@@ -79,7 +80,7 @@
     }
 
     private static boolean isCurrent(Optional<Row> own, MemberRecord self) {
-        return own.flatMap(JoinPoints::parse)
+        return own.flatMap(SeedNodeRegistry::parse)
                 .filter(record -> record.getIncarnation() == self.getIncarnation())
                 .isPresent();
     }
--- a/node/src/main/java/org/damaskmoor/node/internal/mesh/FrameReceivers.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/mesh/FrameHandlers.java
@@ -19,7 +19,7 @@
  * @param unsent frames that were certainly not sent
  * @param linkLost connections that are gone, and when they were used last
  */
-public record FrameReceivers(
+public record FrameHandlers(
         BiConsumer<MeshLink, MeshFrame> entry,
         BiConsumer<MeshLink, MeshFrame> target,
         BiConsumer<MeshLink, MeshFrame> loadProbe,
--- a/node/src/main/java/org/damaskmoor/node/internal/mesh/FrameRouter.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/mesh/FrameRouter.java
@@ -17,9 +17,9 @@
 public final class FrameRouter implements MeshListener {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-    private final FrameReceivers receivers;
+    private final FrameHandlers receivers;
 
-    public FrameRouter(FrameReceivers receivers) {
+    public FrameRouter(FrameHandlers receivers) {
         this.receivers = receivers;
     }
 
--- a/node/src/main/java/org/damaskmoor/node/internal/mesh/SelfLink.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/mesh/LoopbackLink.java
@@ -11,13 +11,13 @@
  *
  * <p>Immutable and thread-safe.
  */
-public final class SelfLink implements MeshLink {
+public final class LoopbackLink implements MeshLink {
     private final NodeId self;
     private final Incarnation incarnation;
     private final Predicate<MeshFrame> entry;
 
     /** Hands frames to the entry part; the predicate is false when its ring is full. */
-    public SelfLink(NodeId self, Incarnation incarnation, Predicate<MeshFrame> entry) {
+    public LoopbackLink(NodeId self, Incarnation incarnation, Predicate<MeshFrame> entry) {
         this.self = self;
         this.incarnation = incarnation;
         this.entry = entry;
--- a/node/src/main/java/org/damaskmoor/node/internal/metrics/MetricsText.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/metrics/MetricsFormatter.java
@@ -17,21 +17,21 @@
  *
  * <p>Thread-safe.
  */
-public final class MetricsText {
+public final class MetricsFormatter {
     private static final double NANOSECONDS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
     private final MetricRegistry registry;
 
-    public MetricsText(MetricRegistry registry) {
+    public MetricsFormatter(MetricRegistry registry) {
         this.registry = registry;
     }
 
     /** The metrics in Prometheus' text format; times in seconds. */
-    public String prometheus() {
+    public String toPrometheusText() {
         StringBuilder text = new StringBuilder();
         for (NodeMetric metric : NodeMetric.values()) {
             text.append("# HELP ").append(metric.metricName()).append(' ');
-            text.append(metric.meaning()).append("\n# TYPE ").append(metric.metricName());
+            text.append(metric.description()).append("\n# TYPE ").append(metric.metricName());
             text.append(' ').append(metric.kind().name().toLowerCase(Locale.ROOT)).append('\n');
             values(text, metric);
         }
@@ -52,7 +52,7 @@
     }
 
     /** The metrics as one JSON object; times in seconds. */
-    public String json() {
+    public String toJson() {
         JsonObject json = new JsonObject();
         for (Map.Entry<String, Counter> entry : registry.getCounters().entrySet()) {
             json.addProperty(entry.getKey(), entry.getValue().getCount());
--- a/node/src/main/java/org/damaskmoor/node/internal/metrics/NodeGauges.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/metrics/NodeGauges.java
@@ -34,7 +34,7 @@
     public NodeGauges addMembers(java.util.function.ToLongFunction<MemberState> count) {
         for (MemberState state : new MemberState[] {MemberState.ALIVE, MemberState.SUSPECT}) {
             String name = state.name().toLowerCase(Locale.ROOT);
-            register(NodeMetric.MEMBERS.with("state", name), () -> count.applyAsLong(state));
+            register(NodeMetric.MEMBERS.withLabel("state", name), () -> count.applyAsLong(state));
         }
         return this;
     }
@@ -43,7 +43,7 @@
     public NodeGauges addGossip(GossipTraffic traffic) {
         for (BodyCase kind : BodyCase.values()) {
             String name = kind.name().toLowerCase(Locale.ROOT).replace('_', '-');
-            register(NodeMetric.GOSSIP_SENT.with("kind", name), () -> traffic.sentBytes(kind));
+            register(NodeMetric.GOSSIP_SENT.withLabel("kind", name), () -> traffic.sentBytes(kind));
         }
         return this;
     }
--- a/node/src/main/java/org/damaskmoor/node/internal/metrics/NodeMetric.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/metrics/NodeMetric.java
@@ -67,7 +67,7 @@
     }
 
     /** The name with one label, whose value is escaped. */
-    public String with(String label, String value) {
+    public String withLabel(String label, String value) {
         String escaped = value.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n");
         return metricName + "{" + label + "=\"" + escaped + "\"}";
     }
@@ -77,7 +77,7 @@
     }
 
     /** What it counts, and its unit. */
-    public String meaning() {
+    public String description() {
         return meaning;
     }
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/metrics/NodeMetrics.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/metrics/NodeMetrics.java
@@ -4,8 +4,8 @@
 import com.google.common.flogger.FluentLogger;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
+import org.damaskmoor.core.atmostonce.UnknownOutcomeStep;
 import org.damaskmoor.core.id.NodeId;
-import org.damaskmoor.core.once.CallStep;
 import org.damaskmoor.node.internal.entry.CallTemplate;
 import org.damaskmoor.node.internal.entry.OutcomeListener;
 import org.damaskmoor.node.internal.http.OutcomeReplies;
@@ -36,14 +36,15 @@
 
     @Override
     public void onRefused(CallTemplate template, RefusalReason reason) {
-        registry.counter(NodeMetric.REFUSED.with("reason", OutcomeReplies.wireName(reason))).inc();
+        registry.counter(NodeMetric.REFUSED.withLabel("reason", OutcomeReplies.wireName(reason)))
+                .inc();
         logger.atInfo().log(
                 "event=request-refused service=%s caller=%s reason=%s",
                 template.service(), template.caller(), OutcomeReplies.wireName(reason));
     }
 
     @Override
-    public void onUnknown(CallTemplate template, CallStep step, NodeId peer) {
+    public void onUnknown(CallTemplate template, UnknownOutcomeStep step, NodeId peer) {
         registry.counter(NodeMetric.UNKNOWN.metricName()).inc();
         logger.atWarning().log(
                 "event=request-unknown service=%s caller=%s step=%s peer=%s",
--- a/node/src/main/java/org/damaskmoor/node/internal/operator/ChangeReplies.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/operator/ChangeResponses.java
@@ -19,11 +19,11 @@
 import org.damaskmoor.schema.operator.Faults;
 
 /** Turns what became of a change into a response or a status with trailers. Stateless. */
-final class ChangeReplies {
+final class ChangeResponses {
     private static final int FAULT_BYTES = 256 * 1024;
     private static final int OVERHEAD_BYTES = 16;
 
-    private ChangeReplies() {}
+    private ChangeResponses() {}
 
     /** The response of an accepted change; throws the status of any other outcome. */
     static ApplyServiceResponse responseOf(ChangeOutcome outcome, ChangeRequest request) {
--- a/node/src/main/java/org/damaskmoor/node/internal/operator/DrainCall.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/operator/DrainHandler.java
@@ -9,7 +9,7 @@
 import org.damaskmoor.schema.operator.DrainNodeResponse;
 
 /** Starts to drain the upstream beside this node. Thread-safe. */
-public final class DrainCall {
+public final class DrainHandler {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
     private final NodeId self;
@@ -23,7 +23,7 @@
      * @param members where other nodes are
      * @param drain starts to drain, from any thread
      */
-    public DrainCall(NodeId self, MemberDirectory members, Runnable drain) {
+    public DrainHandler(NodeId self, MemberDirectory members, Runnable drain) {
         this.self = self;
         this.members = members;
         this.drain = drain;
--- a/node/src/main/java/org/damaskmoor/node/internal/operator/ExplainCall.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/operator/ExplainHandler.java
@@ -11,7 +11,7 @@
 import java.util.function.Function;
 import org.damaskmoor.core.configuration.MatchedService;
 import org.damaskmoor.core.id.ServiceName;
-import org.damaskmoor.core.routing.CandidateWeight;
+import org.damaskmoor.core.routing.CandidateEstimate;
 import org.damaskmoor.core.routing.Distance;
 import org.damaskmoor.node.internal.entry.RequestDescription;
 import org.damaskmoor.node.internal.entry.RequestExplanation;
@@ -20,12 +20,12 @@
 import org.damaskmoor.schema.operator.ExplainResponse;
 
 /** Tells operators why a request would go where it goes. Thread-safe. */
-public final class ExplainCall {
+public final class ExplainHandler {
     private static final double NANOSECONDS_PER_MILLISECOND = TimeUnit.MILLISECONDS.toNanos(1);
-    private static final Comparator<CandidateWeight> NEAREST_FIRST =
-            Comparator.comparing(CandidateWeight::distance)
-                    .thenComparing(CandidateWeight::available, Comparator.reverseOrder())
-                    .thenComparingLong(CandidateWeight::expectedNanoseconds)
+    private static final Comparator<CandidateEstimate> NEAREST_FIRST =
+            Comparator.comparing(CandidateEstimate::distance)
+                    .thenComparing(CandidateEstimate::available, Comparator.reverseOrder())
+                    .thenComparingLong(CandidateEstimate::expectedNanoseconds)
                     .thenComparing(weight -> weight.target().id().node());
 
     private final Function<RequestDescription, CompletableFuture<Optional<RequestExplanation>>>
@@ -36,7 +36,7 @@
      *
      * @param entry explains on the caller event loop; empty when there is no such service
      */
-    public ExplainCall(
+    public ExplainHandler(
             Function<RequestDescription, CompletableFuture<Optional<RequestExplanation>>> entry) {
         this.entry = entry;
     }
@@ -71,7 +71,7 @@
     }
 
     private static ExplainResponse response(RequestExplanation explained, String caller) {
-        List<CandidateWeight> candidates =
+        List<CandidateEstimate> candidates =
                 explained.candidates().stream().sorted(NEAREST_FIRST).toList();
         ExplainResponse.Builder response =
                 ExplainResponse.newBuilder()
@@ -83,7 +83,7 @@
         return response.build();
     }
 
-    private static CandidateExplanation explanation(CandidateWeight weight) {
+    private static CandidateExplanation explanation(CandidateEstimate weight) {
         return CandidateExplanation.newBuilder()
                 .setNodeId(weight.target().id().node().value())
                 .setDistance(lowerCase(weight.distance()))
@@ -100,7 +100,7 @@
     }
 
     private static String decision(
-            RequestExplanation explained, List<CandidateWeight> candidates, String caller) {
+            RequestExplanation explained, List<CandidateEstimate> candidates, String caller) {
         if (!explained.allowed()) {
             return "Refused as not-allowed: the rule lets in "
                     + String.join(
@@ -131,7 +131,7 @@
                 + ".";
     }
 
-    private static boolean isOpen(CandidateWeight weight, boolean remote) {
+    private static boolean isOpen(CandidateEstimate weight, boolean remote) {
         return weight.available() && (weight.distance() == Distance.REMOTE) == remote;
     }
 
--- a/node/src/main/java/org/damaskmoor/node/internal/operator/OperatorParts.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/operator/OperatorDependencies.java
@@ -5,10 +5,10 @@
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.core.id.ServiceName;
 import org.damaskmoor.core.membership.MembershipProtocol;
-import org.damaskmoor.node.internal.configuration.ConfigurationDuty;
-import org.damaskmoor.node.internal.entry.EntryDuty;
+import org.damaskmoor.node.internal.configuration.ConfigurationManager;
+import org.damaskmoor.node.internal.entry.EntryProxy;
 import org.damaskmoor.node.internal.members.MemberDirectory;
-import org.damaskmoor.node.internal.target.TargetDuty;
+import org.damaskmoor.node.internal.target.TargetProxy;
 
 /**
  * The parts of a node that operators' calls reach. Immutable and thread-safe.
@@ -22,28 +22,28 @@
  * @param target the upstream's side
  * @param table the platform's table of services
  */
-public record OperatorParts(
+public record OperatorDependencies(
         NodeId self,
         Executor control,
-        ConfigurationDuty configuration,
+        ConfigurationManager configuration,
         MembershipProtocol membership,
         MemberDirectory members,
-        EntryDuty entry,
-        TargetDuty target,
+        EntryProxy entry,
+        TargetProxy target,
         ServiceTable table) {
     private static final ServiceName PROBED_SERVICE = new ServiceName("status-probe");
 
     /** The service that answers operators with these parts. */
-    public OperatorService service() {
+    public OperatorService createService() {
         return new OperatorService(
-                new ServiceCalls(control, configuration, System::currentTimeMillis),
-                new StatusCall(
+                new ServiceHandler(control, configuration, System::currentTimeMillis),
+                new StatusHandler(
                         control,
                         membership,
                         configuration,
                         target::lastLoad,
                         () -> table.read(PROBED_SERVICE)),
-                new DrainCall(self, members, target::drain),
-                new ExplainCall(entry::explain));
+                new DrainHandler(self, members, target::drain),
+                new ExplainHandler(entry::explain));
     }
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/operator/OperatorService.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/operator/OperatorService.java
@@ -31,13 +31,16 @@
 public final class OperatorService extends OperatorServiceGrpc.OperatorServiceImplBase {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-    private final ServiceCalls services;
-    private final StatusCall status;
-    private final DrainCall drain;
-    private final ExplainCall explain;
+    private final ServiceHandler services;
+    private final StatusHandler status;
+    private final DrainHandler drain;
+    private final ExplainHandler explain;
 
     public OperatorService(
-            ServiceCalls services, StatusCall status, DrainCall drain, ExplainCall explain) {
+            ServiceHandler services,
+            StatusHandler status,
+            DrainHandler drain,
+            ExplainHandler explain) {
         this.services = services;
         this.status = status;
         this.drain = drain;
--- a/node/src/main/java/org/damaskmoor/node/internal/operator/ServiceCalls.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/operator/ServiceHandler.java
@@ -8,7 +8,7 @@
 import org.damaskmoor.core.configuration.ChangeOutcome;
 import org.damaskmoor.core.configuration.ChangeRequest;
 import org.damaskmoor.core.id.ServiceName;
-import org.damaskmoor.node.internal.configuration.ConfigurationDuty;
+import org.damaskmoor.node.internal.configuration.ConfigurationManager;
 import org.damaskmoor.schema.configuration.ServiceConfiguration;
 import org.damaskmoor.schema.configuration.VersionedConfiguration;
 import org.damaskmoor.schema.operator.ApplyServiceRequest;
@@ -22,11 +22,11 @@
  *
  * <p>Thread-safe: everything is handed to the control event loop.
  */
-public final class ServiceCalls {
+public final class ServiceHandler {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
     private final Executor control;
-    private final ConfigurationDuty configuration;
+    private final ConfigurationManager configuration;
     private final LongSupplier epochMilliseconds;
 
     /**
@@ -36,8 +36,8 @@
      * @param configuration carries changes out; used on that loop only
      * @param epochMilliseconds the wall clock
      */
-    public ServiceCalls(
-            Executor control, ConfigurationDuty configuration, LongSupplier epochMilliseconds) {
+    public ServiceHandler(
+            Executor control, ConfigurationManager configuration, LongSupplier epochMilliseconds) {
         this.control = control;
         this.configuration = configuration;
         this.epochMilliseconds = epochMilliseconds;
@@ -87,7 +87,7 @@
                 .thenApply(
                         outcome -> {
                             log(request, outcome);
-                            return ChangeReplies.responseOf(outcome, request);
+                            return ChangeResponses.responseOf(outcome, request);
                         });
     }
 
--- a/node/src/main/java/org/damaskmoor/node/internal/operator/StatusCall.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/operator/StatusHandler.java
@@ -5,11 +5,11 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import org.damaskmoor.core.configuration.PeerConfigurations.Standing;
+import org.damaskmoor.core.configuration.PeerConfigurationTracker.Standing;
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.core.id.RegionName;
 import org.damaskmoor.core.membership.MembershipProtocol;
-import org.damaskmoor.node.internal.configuration.ConfigurationDuty;
+import org.damaskmoor.node.internal.configuration.ConfigurationManager;
 import org.damaskmoor.schema.configuration.VersionedConfiguration;
 import org.damaskmoor.schema.gossip.MemberRecord;
 import org.damaskmoor.schema.gossip.MemberState;
@@ -24,12 +24,12 @@
  *
  * <p>Thread-safe: membership and configuration are read on the control event loop.
  */
-public final class StatusCall {
+public final class StatusHandler {
     private static final long PLATFORM_TIMEOUT_MILLISECONDS = 1_500;
 
     private final Executor control;
     private final MembershipProtocol membership;
-    private final ConfigurationDuty configuration;
+    private final ConfigurationManager configuration;
     private final Supplier<LoadReport> ownLoad;
     private final Supplier<CompletableFuture<?>> platformProbe;
 
@@ -42,10 +42,10 @@
      * @param ownLoad load of this node's upstream, from any thread
      * @param platformProbe fails when the platform's table gives no answer
      */
-    public StatusCall(
+    public StatusHandler(
             Executor control,
             MembershipProtocol membership,
-            ConfigurationDuty configuration,
+            ConfigurationManager configuration,
             Supplier<LoadReport> ownLoad,
             Supplier<CompletableFuture<?>> platformProbe) {
         this.control = control;
@@ -85,7 +85,7 @@
         Standing standing =
                 self
                         ? Standing.SAME
-                        : configuration.peers().standingOf(new NodeId(member.getNodeId()));
+                        : configuration.peers().statusOf(new NodeId(member.getNodeId()));
         NodeStatus.Builder status =
                 NodeStatus.newBuilder()
                         .setNodeId(member.getNodeId())
--- a/node/src/main/java/org/damaskmoor/node/internal/security/NodeSecurity.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/security/NodeTls.java
@@ -8,7 +8,7 @@
 import javax.net.ssl.SSLException;
 import org.damaskmoor.core.settings.SettingsException;
 import org.damaskmoor.core.settings.TlsFiles;
-import org.damaskmoor.mesh.MeshSecurity;
+import org.damaskmoor.mesh.MeshTls;
 import org.damaskmoor.schema.settings.NodeSettings;
 
 /**
@@ -19,14 +19,14 @@
  * @param mesh for connections between nodes
  * @param operators for the operator port
  */
-public record NodeSecurity(MeshSecurity mesh, SslContext operators) {
+public record NodeTls(MeshTls mesh, SslContext operators) {
     /**
      * Reads the files that the settings name.
      *
      * @return empty when the settings name none
      * @throws SettingsException when only some are named, or a file cannot be used
      */
-    public static Optional<NodeSecurity> read(NodeSettings settings) throws SettingsException {
+    public static Optional<NodeTls> read(NodeSettings settings) throws SettingsException {
         Optional<TlsFiles> files =
                 TlsFiles.of(
                         settings.getTlsCertificateFile(),
@@ -35,7 +35,7 @@
         return files.isEmpty() ? Optional.empty() : Optional.of(read(files.get()));
     }
 
-    private static NodeSecurity read(TlsFiles files) throws SettingsException {
+    private static NodeTls read(TlsFiles files) throws SettingsException {
         try {
             SslContext client =
                     SslContextBuilder.forClient()
@@ -43,7 +43,7 @@
                             .trustManager(files.authority())
                             .build();
             SslContext operators = GrpcSslContexts.configure(server(files)).build();
-            return new NodeSecurity(new MeshSecurity(server(files).build(), client), operators);
+            return new NodeTls(new MeshTls(server(files).build(), client), operators);
         } catch (IllegalArgumentException | SSLException unusable) {
             throw files.unusable(unusable);
         }
--- a/node/src/main/java/org/damaskmoor/node/internal/stop/PlannedStop.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/shutdown/GracefulShutdown.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.node.internal.stop;
+package org.damaskmoor.node.internal.shutdown;
 
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.Executor;
@@ -11,13 +11,13 @@
  *
  * <p>Thread-safe. Invariant: each step begins when the one before has ended or its time is over.
  */
-public final class PlannedStop {
+public final class GracefulShutdown {
     /** Time for other nodes to hear that this one leaves, before ports close. */
     private static final long NOTICE_MILLISECONDS = 1_000;
 
     private static final long IDLE_CHECK_MILLISECONDS = 20;
 
-    private final StopSteps steps;
+    private final ShutdownSteps steps;
     private final long drainMilliseconds;
     private final LongSupplier milliseconds;
 
@@ -28,7 +28,8 @@
      * @param drainMilliseconds longest time for requests in flight
      * @param milliseconds a monotonic clock
      */
-    public PlannedStop(StopSteps steps, long drainMilliseconds, LongSupplier milliseconds) {
+    public GracefulShutdown(
+            ShutdownSteps steps, long drainMilliseconds, LongSupplier milliseconds) {
         this.steps = steps;
         this.drainMilliseconds = drainMilliseconds;
         this.milliseconds = milliseconds;
--- a/node/src/main/java/org/damaskmoor/node/internal/stop/StopSteps.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/shutdown/ShutdownSteps.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.node.internal.stop;
+package org.damaskmoor.node.internal.shutdown;
 
 import java.util.concurrent.CompletableFuture;
 import java.util.function.LongFunction;
@@ -14,7 +14,7 @@
  * @param leave tells the other nodes that this one leaves
  * @param closePorts closes all other ports
  */
-public record StopSteps(
+public record ShutdownSteps(
         Runnable drainTarget,
         Supplier<CompletableFuture<Void>> closeEntry,
         Supplier<CompletableFuture<Boolean>> targetIdle,
--- a/node/src/main/java/org/damaskmoor/node/internal/target/HeldClaims.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/target/ClaimTracker.java
@@ -12,7 +12,7 @@
  * <p>Confined to the upstream event loop. Invariants: a call that ends without having run gives its
  * claim back, also when it ends while the claim is on its way; a call that may have run keeps it.
  */
-final class HeldClaims {
+final class ClaimTracker {
     private enum State {
         ASKED,
         /** The call ended without a run before the claim was answered. */
@@ -23,11 +23,11 @@
     private final ClaimService service;
     private final Map<RequestId, State> states = new HashMap<>();
 
-    HeldClaims(ClaimService service) {
+    ClaimTracker(ClaimService service) {
         this.service = service;
     }
 
-    static boolean isNeeded(Call call) {
+    static boolean requiresClaim(Call call) {
         return call.getClaim() && !call.getIdempotencyKey().isEmpty();
     }
 
@@ -64,7 +64,7 @@
     }
 
     /** The call ended and ran, or may have run. */
-    void onRun(RequestId id) {
+    void onMayHaveRun(RequestId id) {
         states.remove(id);
     }
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/target/CrashWatch.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/target/CrashDetector.java
@@ -30,7 +30,7 @@
  * event loop use it. Invariant: holds one fingerprint for each call that runs, and those of lost
  * calls until the crash is certain or its upstream is seen alive for {@link #CERTAIN_NANOSECONDS}.
  */
-public final class CrashWatch {
+public final class CrashDetector {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final long CERTAIN_NANOSECONDS = 30_000_000_000L;
 
@@ -53,7 +53,7 @@
      * @param clock the monotonic clock, in nanoseconds
      * @param spread tells the other nodes of a crash
      */
-    public CrashWatch(
+    public CrashDetector(
             NodeId self,
             Incarnation incarnation,
             LongSupplier clock,
@@ -70,15 +70,15 @@
     }
 
     /** Crashes that still count. */
-    public synchronized int records() {
+    public synchronized int recordCount() {
         return quarantine.records(clock.getAsLong()).size();
     }
 
     /** The refusal for a call that must not run; empty when it may. */
-    synchronized Optional<CallRefusal> refusal(Call call) {
+    synchronized Optional<CallRefusal> quarantineRefusal(Call call) {
         long now = clock.getAsLong();
         RequestFingerprint request = fingerprint(call);
-        if (!quarantine.holds(request, now)) {
+        if (!quarantine.isQuarantined(request, now)) {
             return Optional.empty();
         }
         int retryAfter = (int) quarantine.retryAfterMilliseconds(request, now);
@@ -117,7 +117,7 @@
     }
 
     /** The upstream's announcement has lapsed. */
-    synchronized void onLapsed() {
+    synchronized void onAnnouncementExpired() {
         running.values().forEach(request -> lost.add(new Lost(request, clock.getAsLong())));
         onGone("announcement-lapsed");
     }
--- a/node/src/main/java/org/damaskmoor/node/internal/target/HttpUpstreamClient.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/target/HttpUpstreamClient.java
@@ -15,8 +15,8 @@
 import java.util.function.Consumer;
 import org.damaskmoor.node.internal.http.HeaderFields;
 import org.damaskmoor.node.internal.http.OutcomeReplies;
-import org.damaskmoor.platform.http.AddressLookup;
-import org.damaskmoor.platform.http.ConnectFailures;
+import org.damaskmoor.platform.http.ConnectFailureInspector;
+import org.damaskmoor.platform.http.SystemDnsClient;
 import org.damaskmoor.schema.mesh.Call;
 import org.damaskmoor.schema.mesh.CallAnswer;
 import org.damaskmoor.schema.mesh.HeaderField;
@@ -47,14 +47,14 @@
 
     private final Eventloop loop;
     private final int maximumBodyBytes;
-    private final ConnectFailures connectFailures = new ConnectFailures();
+    private final ConnectFailureInspector connectFailures = new ConnectFailureInspector();
     private final HttpClient client;
 
     HttpUpstreamClient(Eventloop loop, int maximumBodyBytes) {
         this.loop = loop;
         this.maximumBodyBytes = maximumBodyBytes;
         this.client =
-                HttpClient.builder(loop, new AddressLookup(loop))
+                HttpClient.builder(loop, new SystemDnsClient(loop))
                         .withConnectTimeout(CONNECT_TIMEOUT)
                         .withNoKeepAlive()
                         .withReadWriteTimeout(READ_WRITE_TIMEOUT)
@@ -114,7 +114,7 @@
         return new UpstreamOutcome.Answered(
                 CallAnswer.newBuilder()
                         .setStatus(response.getCode())
-                        .addAllHeaders(HeaderFields.ofAnswer(response))
+                        .addAllHeaders(HeaderFields.ofResponse(response))
                         .setBody(ByteString.copyFrom(body.getArray()))
                         .build());
     }
--- a/node/src/main/java/org/damaskmoor/node/internal/target/OpenCall.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/target/OpenCall.java
@@ -1,7 +1,7 @@
 package org.damaskmoor.node.internal.target;
 
 import java.util.concurrent.TimeUnit;
-import org.damaskmoor.core.admission.Admission;
+import org.damaskmoor.core.admission.AdmissionRequest;
 import org.damaskmoor.core.id.CallerName;
 import org.damaskmoor.core.id.RequestId;
 import org.damaskmoor.schema.mesh.Call;
@@ -14,8 +14,8 @@
  * @param deadlineNanoseconds when its answer is of no use any more
  */
 record OpenCall(RequestId id, Call call, long deadlineNanoseconds) {
-    Admission admission() {
-        return new Admission(
+    AdmissionRequest admission() {
+        return new AdmissionRequest(
                 id,
                 new CallerName(call.getCaller()),
                 call.getWeight(),
--- a/node/src/main/java/org/damaskmoor/node/internal/target/Waiters.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/target/PendingReplies.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Function;
+import org.damaskmoor.core.atmostonce.CallState;
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.core.id.RequestId;
-import org.damaskmoor.core.once.CallState;
 import org.damaskmoor.schema.mesh.CallAnswer;
 import org.damaskmoor.schema.mesh.LoadReport;
 import org.damaskmoor.schema.mesh.RefusalReason;
@@ -19,17 +19,17 @@
  * <p>Confined to the upstream event loop. Invariant: each is told over the connection on which it
  * was heard of last; an outcome that can't be sent is asked for again by the entry node.
  */
-final class Waiters {
+final class PendingReplies {
     private final Function<NodeId, LoadReport> load;
-    private final Map<RequestId, Waiter> waiting = new HashMap<>();
+    private final Map<RequestId, PendingReply> waiting = new HashMap<>();
 
     /** Tells waiters the outcomes, each with the report that its node gets. */
-    Waiters(Function<NodeId, LoadReport> load) {
+    PendingReplies(Function<NodeId, LoadReport> load) {
         this.load = load;
     }
 
     /** Remembers who waits, in place of what was known before. */
-    void add(Waiter waiter) {
+    void add(PendingReply waiter) {
         waiting.put(waiter.id(), waiter);
     }
 
@@ -37,34 +37,34 @@
         waiting.remove(id);
     }
 
-    void tellAnswer(RequestId id, CallAnswer answer) {
-        Waiter waiter = waiting.remove(id);
+    void completeWithAnswer(RequestId id, CallAnswer answer) {
+        PendingReply waiter = waiting.remove(id);
         if (waiter != null) {
             waiter.link()
                     .send(TargetFrames.answer(waiter, answer, load.apply(waiter.link().peer())));
         }
     }
 
-    void tellRefusal(RequestId id, CallRefusal refusal) {
-        Waiter waiter = waiting.remove(id);
+    void completeWithRefusal(RequestId id, CallRefusal refusal) {
+        PendingReply waiter = waiting.remove(id);
         if (waiter != null) {
             sendRefusal(waiter, refusal);
         }
     }
 
-    void tellFailure(RequestId id, String detail) {
-        Waiter waiter = waiting.remove(id);
+    void completeWithFailure(RequestId id, String detail) {
+        PendingReply waiter = waiting.remove(id);
         if (waiter != null) {
             sendFailure(waiter, detail);
         }
     }
 
-    void sendRefusal(Waiter waiter, CallRefusal refusal) {
+    void sendRefusal(PendingReply waiter, CallRefusal refusal) {
         waiter.link().send(TargetFrames.refused(waiter, refusal, load.apply(waiter.link().peer())));
     }
 
     /** Sends an outcome that is known already. */
-    void sendOutcome(Waiter waiter, CallState state, Optional<ByteString> answer) {
+    void sendOutcome(PendingReply waiter, CallState state, Optional<ByteString> answer) {
         boolean kept = answer.isPresent() && !answer.get().isEmpty();
         if (state.isNotRun()) {
             sendRefusal(waiter, CallRefusal.of(RefusalReason.SEALED_AFTER_SILENCE));
@@ -77,7 +77,7 @@
         }
     }
 
-    private void sendFailure(Waiter waiter, String detail) {
+    private void sendFailure(PendingReply waiter, String detail) {
         waiter.link().send(TargetFrames.failed(waiter, detail, load.apply(waiter.link().peer())));
     }
 
--- a/node/src/main/java/org/damaskmoor/node/internal/target/Waiter.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/target/PendingReply.java
@@ -10,4 +10,4 @@
  * @param attempt the attempt that was heard of last
  * @param link the connection over which it was heard of
  */
-record Waiter(RequestId id, int attempt, MeshLink link) {}
+record PendingReply(RequestId id, int attempt, MeshLink link) {}
--- a/node/src/main/java/org/damaskmoor/node/internal/target/TargetDispatcher.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/target/TargetDispatcher.java
@@ -8,22 +8,22 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiFunction;
 import org.damaskmoor.core.admission.AdmissionController;
+import org.damaskmoor.core.admission.AdmissionDecision;
 import org.damaskmoor.core.admission.AdmissionOutcome;
-import org.damaskmoor.core.admission.NextAdmissions;
-import org.damaskmoor.core.admission.Offer;
+import org.damaskmoor.core.admission.DequeuedRequests;
 import org.damaskmoor.core.admission.Refusal;
+import org.damaskmoor.core.atmostonce.Acceptance;
+import org.damaskmoor.core.atmostonce.CallKey;
+import org.damaskmoor.core.atmostonce.CallState;
+import org.damaskmoor.core.atmostonce.CancelResult;
+import org.damaskmoor.core.atmostonce.HandOverResult;
+import org.damaskmoor.core.atmostonce.IdempotencyKey;
+import org.damaskmoor.core.atmostonce.TargetLedger;
 import org.damaskmoor.core.id.CallerName;
 import org.damaskmoor.core.id.Incarnation;
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.core.id.RequestId;
 import org.damaskmoor.core.id.ServiceName;
-import org.damaskmoor.core.once.Acceptance;
-import org.damaskmoor.core.once.CallKey;
-import org.damaskmoor.core.once.CallState;
-import org.damaskmoor.core.once.CancelResult;
-import org.damaskmoor.core.once.HandOverResult;
-import org.damaskmoor.core.once.IdempotencyKey;
-import org.damaskmoor.core.once.TargetLedger;
 import org.damaskmoor.mesh.MeshLink;
 import org.damaskmoor.schema.mesh.Call;
 import org.damaskmoor.schema.mesh.CallAnswer;
@@ -51,11 +51,11 @@
     private final AdmissionController admission;
     private final UpstreamRegistration upstream;
     private final UpstreamClient client;
-    private final HeldClaims claims;
-    private final CrashWatch crashes;
+    private final ClaimTracker claims;
+    private final CrashDetector crashes;
     private final TargetTiming timing;
     private final Map<RequestId, OpenCall> open = new HashMap<>();
-    private final Waiters waiters;
+    private final PendingReplies waiters;
 
     TargetDispatcher(
             TargetLedger ledger,
@@ -63,17 +63,18 @@
             UpstreamRegistration upstream,
             UpstreamClient client,
             ClaimService claims,
-            CrashWatch crashes,
+            CrashDetector crashes,
             TargetTiming timing,
             BiFunction<NodeId, LoadReport, LoadReport> reports) {
         this.ledger = ledger;
         this.admission = admission;
         this.upstream = upstream;
         this.client = client;
-        this.claims = new HeldClaims(claims);
+        this.claims = new ClaimTracker(claims);
         this.crashes = crashes;
         this.timing = timing;
-        this.waiters = new Waiters(peer -> reports.apply(peer, admission.loadReport(timing.now())));
+        this.waiters =
+                new PendingReplies(peer -> reports.apply(peer, admission.loadReport(timing.now())));
     }
 
     /** Takes a frame from an entry node. */
@@ -93,7 +94,7 @@
     }
 
     private void handOverNext() {
-        NextAdmissions next = admission.next(timing.now());
+        DequeuedRequests next = admission.dequeue(timing.now());
         next.refused().forEach(this::refuseAdmission);
         next.admitted().forEach(admitted -> handOver(admitted.id()));
     }
@@ -105,14 +106,14 @@
 
     private void onCall(MeshLink link, Call call) {
         RequestId id = TargetFrames.requestId(call.getRequestId());
-        Waiter waiter = new Waiter(id, call.getAttempt(), link);
+        PendingReply waiter = new PendingReply(id, call.getAttempt(), link);
         long deadline = timing.deadline(call);
         Acceptance acceptance =
                 ledger.accept(
                         key(id, call),
                         new Incarnation(Math.max(1, call.getTargetIncarnation())),
                         timing.acceptUntil(call),
-                        timing.keepUntil(call),
+                        timing.retainUntil(call),
                         timing.now());
         switch (acceptance.result()) {
             case ACCEPTED -> onNew(waiter, call, deadline);
@@ -141,18 +142,18 @@
                                 call.getIdempotencyKey())));
     }
 
-    private void onNew(Waiter waiter, Call call, long deadline) {
+    private void onNew(PendingReply waiter, Call call, long deadline) {
         RequestId id = waiter.id();
         OpenCall opened = new OpenCall(id, call, deadline);
         open.put(id, opened);
         waiters.add(waiter);
         waiter.link().send(TargetFrames.accepted(waiter));
-        Optional<CallRefusal> quarantined = crashes.refusal(call);
+        Optional<CallRefusal> quarantined = crashes.quarantineRefusal(call);
         if (!upstream.serves(call.getService())) {
             refuse(id, CallRefusal.of(RefusalReason.UPSTREAM_UNREACHABLE));
         } else if (quarantined.isPresent()) {
             refuse(id, quarantined.get());
-        } else if (HeldClaims.isNeeded(call)) {
+        } else if (ClaimTracker.requiresClaim(call)) {
             claims.claim(opened, claim -> onClaim(id, claim));
         } else {
             offer(id);
@@ -185,12 +186,12 @@
         if (call == null) {
             return;
         }
-        Offer offer = admission.offer(call.admission(), timing.now());
-        if (offer instanceof Offer.Admitted) {
+        AdmissionDecision offer = admission.offer(call.admission(), timing.now());
+        if (offer instanceof AdmissionDecision.Admitted) {
             handOver(id);
-        } else if (offer instanceof Offer.Queued queued) {
+        } else if (offer instanceof AdmissionDecision.Queued queued) {
             queued.displaced().forEach(this::refuseAdmission);
-        } else if (offer instanceof Offer.Refused refused) {
+        } else if (offer instanceof AdmissionDecision.Refused refused) {
             refuseAdmission(refused.refusal());
         }
     }
@@ -245,11 +246,11 @@
         ledger.answered(id, kept ? answer.toByteString() : ByteString.EMPTY);
         long microseconds = TimeUnit.NANOSECONDS.toMicros(timing.now() - started);
         CallAnswer timed = answer.toBuilder().setUpstreamMicroseconds((int) microseconds).build();
-        for (RequestId sharing : ledger.sharing(id)) {
-            waiters.tellAnswer(sharing, timed);
+        for (RequestId sharing : ledger.requestsSharingRun(id)) {
+            waiters.completeWithAnswer(sharing, timed);
         }
         open.remove(id);
-        claims.onRun(id);
+        claims.onMayHaveRun(id);
     }
 
     private void onNotRun(RequestId id, long started, UpstreamOutcome.NotRun notRun) {
@@ -276,16 +277,16 @@
     /** Tells all who wait for the call that it is unknown whether it ran. */
     private void fail(RequestId id, String detail) {
         ledger.failed(id);
-        for (RequestId sharing : ledger.sharing(id)) {
-            waiters.tellFailure(sharing, detail);
+        for (RequestId sharing : ledger.requestsSharingRun(id)) {
+            waiters.completeWithFailure(sharing, detail);
         }
         open.remove(id);
-        claims.onRun(id);
+        claims.onMayHaveRun(id);
     }
 
     private void finishAdmission(RequestId id, long started, AdmissionOutcome outcome) {
         long now = timing.now();
-        admission.finished(id, now - started, outcome, now);
+        admission.onFinished(id, now - started, outcome, now);
     }
 
     private void refuseAdmission(Refusal refusal) {
@@ -304,13 +305,13 @@
 
     /** Tells all who wait for the call that it did not run. */
     private void tell(RequestId id, CallRefusal refusal) {
-        for (RequestId sharing : ledger.sharing(id)) {
-            waiters.tellRefusal(sharing, refusal);
+        for (RequestId sharing : ledger.requestsSharingRun(id)) {
+            waiters.completeWithRefusal(sharing, refusal);
         }
         close(id);
     }
 
-    private void onKnown(Waiter waiter, Acceptance acceptance) {
+    private void onKnown(PendingReply waiter, Acceptance acceptance) {
         if (acceptance.state().isFinal()) {
             waiters.sendOutcome(waiter, acceptance.state(), acceptance.answer());
         } else {
@@ -321,9 +322,9 @@
 
     private void onSeal(MeshLink link, SealRequest seal) {
         RequestId id = TargetFrames.requestId(seal.getRequestId());
-        Waiter waiter = new Waiter(id, seal.getAttempt(), link);
+        PendingReply waiter = new PendingReply(id, seal.getAttempt(), link);
         Incarnation meantFor = new Incarnation(Math.max(1, seal.getTargetIncarnation()));
-        SealState state = ledger.seal(id, meantFor, timing.keepUntil(seal), timing.now());
+        SealState state = ledger.seal(id, meantFor, timing.retainUntil(seal), timing.now());
         link.send(TargetFrames.sealed(waiter, state));
         if (state == SealState.SEALED) {
             admission.cancel(id);
@@ -334,7 +335,7 @@
     }
 
     /** The call was handed over: its outcome goes over the connection of the seal request. */
-    private void followUp(Waiter waiter) {
+    private void followUp(PendingReply waiter) {
         CallState state = ledger.state(waiter.id()).orElse(CallState.FAILED);
         if (state.isFinal()) {
             waiters.sendOutcome(waiter, state, ledger.answer(waiter.id()));
--- a/node/src/main/java/org/damaskmoor/node/internal/target/TargetFrames.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/target/TargetFrames.java
@@ -16,7 +16,7 @@
 final class TargetFrames {
     private TargetFrames() {}
 
-    static MeshFrame accepted(Waiter waiter) {
+    static MeshFrame accepted(PendingReply waiter) {
         return MeshFrame.newBuilder()
                 .setAccepted(
                         CallAccepted.newBuilder()
@@ -25,7 +25,7 @@
                 .build();
     }
 
-    static MeshFrame answer(Waiter waiter, CallAnswer answer, LoadReport load) {
+    static MeshFrame answer(PendingReply waiter, CallAnswer answer, LoadReport load) {
         return MeshFrame.newBuilder()
                 .setAnswer(
                         answer.toBuilder()
@@ -35,7 +35,7 @@
                 .build();
     }
 
-    static MeshFrame refused(Waiter waiter, CallRefusal refusal, LoadReport load) {
+    static MeshFrame refused(PendingReply waiter, CallRefusal refusal, LoadReport load) {
         return MeshFrame.newBuilder()
                 .setRefused(
                         CallRefused.newBuilder()
@@ -48,7 +48,7 @@
                 .build();
     }
 
-    static MeshFrame failed(Waiter waiter, String detail, LoadReport load) {
+    static MeshFrame failed(PendingReply waiter, String detail, LoadReport load) {
         return MeshFrame.newBuilder()
                 .setFailed(
                         CallFailed.newBuilder()
@@ -60,7 +60,7 @@
                 .build();
     }
 
-    static MeshFrame sealed(Waiter waiter, SealState state) {
+    static MeshFrame sealed(PendingReply waiter, SealState state) {
         return MeshFrame.newBuilder()
                 .setSealed(
                         SealResult.newBuilder()
--- a/node/src/main/java/org/damaskmoor/node/internal/target/TargetDuty.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/target/TargetProxy.java
@@ -8,16 +8,16 @@
 import java.util.function.LongSupplier;
 import org.damaskmoor.core.admission.AdmissionController;
 import org.damaskmoor.core.admission.AdmissionOptions;
+import org.damaskmoor.core.atmostonce.LedgerLimits;
+import org.damaskmoor.core.atmostonce.TargetLedger;
 import org.damaskmoor.core.configuration.MatchedService;
 import org.damaskmoor.core.configuration.ServiceMatcher;
 import org.damaskmoor.core.id.Incarnation;
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.core.id.ServiceName;
-import org.damaskmoor.core.once.LedgerLimits;
-import org.damaskmoor.core.once.TargetLedger;
 import org.damaskmoor.mesh.MeshLink;
 import org.damaskmoor.mesh.ring.BoundedMailbox;
-import org.damaskmoor.node.internal.duty.DutyLoop;
+import org.damaskmoor.node.internal.eventloop.EventLoopThread;
 import org.damaskmoor.schema.mesh.LoadReport;
 import org.damaskmoor.schema.mesh.MeshFrame;
 import org.damaskmoor.schema.mesh.UpstreamState;
@@ -27,7 +27,7 @@
  *
  * <p>Thread-safe: everything is handed to the upstream event loop.
  */
-public final class TargetDuty {
+public final class TargetProxy {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final int RING_FRAMES = 16_384;
 
@@ -53,7 +53,7 @@
     public record UpstreamStatus(
             Optional<ServiceName> service, UpstreamState state, int capacity) {}
 
-    private final DutyLoop loop;
+    private final EventLoopThread loop;
     private final LongSupplier clock;
     private final int defaultQueueLimit;
     private final UpstreamRegistration registration;
@@ -61,7 +61,7 @@
     private final TargetDispatcher dispatcher;
     private final BoundedMailbox<Received> mailbox;
     private final Consumer<UpstreamStatus> onStatus;
-    private final CrashWatch crashes;
+    private final CrashDetector crashes;
     private volatile LoadReport lastLoad = LoadReport.getDefaultInstance();
     private volatile boolean draining;
     private boolean busyTickPending;
@@ -81,14 +81,14 @@
      * @param reports the report that a node is sent, from the whole one
      * @param onStatus told of each change of the upstream's state, on the upstream event loop
      */
-    public TargetDuty(
-            DutyLoop loop,
+    public TargetProxy(
+            EventLoopThread loop,
             Incarnation incarnation,
             TargetLimits limits,
             LongSupplier clock,
             LongSupplier epochMilliseconds,
             ClaimService claims,
-            CrashWatch crashes,
+            CrashDetector crashes,
             BiFunction<NodeId, LoadReport, LoadReport> reports,
             Consumer<UpstreamStatus> onStatus) {
         this.loop = loop;
@@ -108,7 +108,7 @@
                                         LEDGER_ENTRIES, LEDGER_ANSWER_BYTES, LEDGER_FENCES)),
                         admission,
                         registration,
-                        new HttpUpstreamClient(loop.loop(), limits.maximumBodyBytes()),
+                        new HttpUpstreamClient(loop.eventLoop(), limits.maximumBodyBytes()),
                         claims,
                         crashes,
                         new TargetTiming(
@@ -148,14 +148,14 @@
                 () -> {
                     crashes.onAnnounced(announcement.state());
                     registration.announce(announcement, clock.getAsLong());
-                    admission.onUpstream(
+                    admission.onUpstreamState(
                             announcement.state(), announcement.slots(), announcement.connections());
                     publishStatus();
                 });
     }
 
     /** The configuration has changed. Any thread. */
-    public void onConfiguration(ServiceMatcher services) {
+    public void onConfigurationChanged(ServiceMatcher services) {
         loop.execute(() -> configure(services));
     }
 
@@ -172,7 +172,7 @@
     /** Completes with whether nothing waits and nothing runs. Any thread. */
     public CompletableFuture<Boolean> isIdle() {
         CompletableFuture<Boolean> idle = new CompletableFuture<>();
-        loop.execute(() -> idle.complete(dispatcher.isIdle() && admission.idle()));
+        loop.execute(() -> idle.complete(dispatcher.isIdle() && admission.isIdle()));
         return idle;
     }
 
@@ -184,7 +184,7 @@
     private void tickSoonWhileBusy() {
         if (!busyTickPending && !dispatcher.isIdle()) {
             busyTickPending = true;
-            loop.timers().after(BUSY_TICK_MILLISECONDS, this::busyTick);
+            loop.timers().schedule(BUSY_TICK_MILLISECONDS, this::busyTick);
         }
     }
 
@@ -199,8 +199,8 @@
         long now = clock.getAsLong();
         if (registration.expire(now)) {
             logger.atWarning().log("event=upstream-absent step=announcement-lease peer=upstream");
-            crashes.onLapsed();
-            admission.onUpstream(UpstreamState.ABSENT, 0, 0);
+            crashes.onAnnouncementExpired();
+            admission.onUpstreamState(UpstreamState.ABSENT, 0, 0);
             publishStatus();
         }
         dispatcher.tick();
--- a/node/src/main/java/org/damaskmoor/node/internal/target/TargetTiming.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/target/TargetTiming.java
@@ -53,14 +53,14 @@
     }
 
     /** When the ledger may forget a call: no copy of it can be accepted any more. */
-    long keepUntil(Call call) {
+    long retainUntil(Call call) {
         long safe = onOwnClock(call.getDeadlineEpochMilliseconds() + 2 * CLOCK_SKEW_MILLISECONDS);
         boolean keyed = call.getNonIdempotent() && !call.getIdempotencyKey().isEmpty();
         return keyed ? safe + keyRetentionNanoseconds : safe;
     }
 
     /** When the ledger may forget a tombstone. */
-    long keepUntil(SealRequest seal) {
+    long retainUntil(SealRequest seal) {
         return onOwnClock(seal.getDeadlineEpochMilliseconds() + 2 * CLOCK_SKEW_MILLISECONDS);
     }
 
--- a/node/src/main/java/org/damaskmoor/node/internal/time/Timers.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/time/Timers.java
@@ -13,7 +13,7 @@
      * @param delayMilliseconds the delay, at least 0
      * @return cancels the task; harmless after it ran
      */
-    Cancellation after(long delayMilliseconds, Runnable task);
+    Cancellation schedule(long delayMilliseconds, Runnable task);
 
     /** Cancels a task. */
     @FunctionalInterface
--- a/node/src/test/java/org/damaskmoor/node/PlannedStopTest.java
+++ b/node/src/test/java/org/damaskmoor/node/GracefulShutdownTest.java
@@ -13,12 +13,12 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.damaskmoor.node.fixture.FakeUpstream;
-import org.damaskmoor.node.fixture.Group;
 import org.damaskmoor.node.fixture.RawClient;
+import org.damaskmoor.node.fixture.TestCluster;
 import org.damaskmoor.node.fixture.TestNode;
 import org.junit.jupiter.api.Test;
 
-final class PlannedStopTest {
+final class GracefulShutdownTest {
     private static final int NODES = 2;
     private static final int CALLERS = 3;
 
@@ -30,18 +30,18 @@
     @Test
     void should_cut_off_no_request_when_every_node_is_replaced() throws Exception {
         // given
-        try (Group group = new Group(PlannedStopTest::serve, settings -> {})) {
-            List<Group.Pair> old = new ArrayList<>();
+        try (TestCluster group = new TestCluster(GracefulShutdownTest::serve, settings -> {})) {
+            List<TestCluster.Pair> old = new ArrayList<>();
             for (int i = 1; i <= NODES; i++) {
-                old.add(group.add(i));
+                old.add(group.addNode(i));
             }
             Load load = new Load();
             old.forEach(pair -> load.entries.add(pair.node()));
             load.start();
 
             // when
-            for (Group.Pair pair : old) {
-                load.entries.add(group.add(NODES + 1).node());
+            for (TestCluster.Pair pair : old) {
+                load.entries.add(group.addNode(NODES + 1).node());
                 pair.stop();
                 load.entries.remove(pair.node());
             }
@@ -56,17 +56,17 @@
     @Test
     void should_get_no_new_work_when_upstream_leaves() throws Exception {
         // given
-        try (Group group = new Group(PlannedStopTest::serve, settings -> {})) {
-            Group.Pair stays = group.add(1);
-            Group.Pair leaves = group.add(2);
+        try (TestCluster group = new TestCluster(GracefulShutdownTest::serve, settings -> {})) {
+            TestCluster.Pair stays = group.addNode(1);
+            TestCluster.Pair leaves = group.addNode(2);
 
             // when
             leaves.upstream().announce("leaving");
             int before = leaves.upstream().started.get();
             List<String> answers = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
-                answers.add(Group.ask(stays.node(), "POST /bookings"));
-                answers.add(Group.ask(leaves.node(), "POST /bookings"));
+                answers.add(TestCluster.sendRequest(stays.node(), "POST /bookings"));
+                answers.add(TestCluster.sendRequest(leaves.node(), "POST /bookings"));
             }
 
             // then
@@ -116,7 +116,8 @@
         private void useConnection(RawClient client) throws IOException {
             boolean open = true;
             while (open && !stopped.get()) {
-                String answer = client.send("POST /bookings" + Group.HOST + "\r\n").readAnswer();
+                String answer =
+                        client.send("POST /bookings" + TestCluster.HOST + "\r\n").readAnswer();
                 if (answer.endsWith("\r\n\r\ndone")) {
                     answered.incrementAndGet();
                 } else {
--- a/node/src/test/java/org/damaskmoor/node/BadInputTest.java
+++ b/node/src/test/java/org/damaskmoor/node/InvalidRequestTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-final class BadInputTest {
+final class InvalidRequestTest {
     private static final String HOST = "Host: besuch.bern.example\r\n";
     private static final int MORE = TestNode.MAXIMUM_BODY_BYTES + 1;
 
@@ -25,7 +25,7 @@
 
     @BeforeAll
     static void start() throws IOException {
-        node = TestNode.alone(settings -> settings.setConnectionsPerCaller(20));
+        node = TestNode.startWithoutPlatform(settings -> settings.setConnectionsPerCaller(20));
     }
 
     @AfterAll
@@ -204,7 +204,7 @@
         // then
         assertProblem(answer, 429, "caller-over-share");
         clients.forEach(RawClient::close);
-        TestNode.await("places are free again", BadInputTest::serves);
+        TestNode.await("places are free again", InvalidRequestTest::serves);
     }
 
     private static void assertProblem(String answer, int status, String reason) {
--- a/node/src/test/java/org/damaskmoor/node/QuarantineTest.java
+++ b/node/src/test/java/org/damaskmoor/node/QuarantineTest.java
@@ -7,21 +7,21 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicReference;
 import org.damaskmoor.node.fixture.FakeUpstream;
-import org.damaskmoor.node.fixture.Group;
+import org.damaskmoor.node.fixture.TestCluster;
 import org.damaskmoor.node.fixture.TestNode;
 import org.junit.jupiter.api.Test;
 
 final class QuarantineTest {
     private static final String POISON = "POST /bookings?poison";
 
-    private final AtomicReference<List<Group.Pair>> pairs = new AtomicReference<>(List.of());
+    private final AtomicReference<List<TestCluster.Pair>> pairs = new AtomicReference<>(List.of());
 
     private void serve(HttpExchange exchange) throws IOException {
         boolean poison = "poison".equals(exchange.getRequestURI().getQuery());
         if (poison) {
             int port = exchange.getLocalAddress().getPort();
             pairs.get().stream()
-                    .map(Group.Pair::upstream)
+                    .map(TestCluster.Pair::upstream)
                     .filter(upstream -> upstream.port() == port)
                     .forEach(FakeUpstream::crash);
         } else {
@@ -33,26 +33,28 @@
     void should_refuse_only_the_request_that_was_in_flight_when_two_upstreams_crashed()
             throws IOException {
         // given
-        try (Group group =
-                new Group(
+        try (TestCluster group =
+                new TestCluster(
                         this::serve, settings -> settings.setAnnouncementLeaseMilliseconds(500))) {
-            pairs.set(List.of(group.add(1), group.add(2), group.add(3)));
+            pairs.set(List.of(group.addNode(1), group.addNode(2), group.addNode(3)));
             TestNode entry = pairs.get().get(0).node();
 
             // when
             for (int crashes = 1; crashes <= 2; crashes++) {
-                assertThat(Group.ask(entry, POISON)).contains("Damaskmoor-Outcome: unknown");
+                assertThat(TestCluster.sendRequest(entry, POISON))
+                        .contains("Damaskmoor-Outcome: unknown");
                 awaitCrashes(crashes);
             }
 
             // then
-            assertThat(Group.ask(entry, POISON)).contains("\"reason\":\"quarantined\"");
-            assertThat(Group.ask(entry, "POST /bookings")).endsWith("\r\n\r\ndone");
+            assertThat(TestCluster.sendRequest(entry, POISON))
+                    .contains("\"reason\":\"quarantined\"");
+            assertThat(TestCluster.sendRequest(entry, "POST /bookings")).endsWith("\r\n\r\ndone");
         }
     }
 
     private void awaitCrashes(int count) {
-        for (Group.Pair pair : pairs.get()) {
+        for (TestCluster.Pair pair : pairs.get()) {
             TestNode.await(
                     "crashes are known",
                     () -> pair.node().metric("damaskmoor_crash_records") >= count);
--- a/node/src/test/java/org/damaskmoor/node/AnswersTest.java
+++ b/node/src/test/java/org/damaskmoor/node/ResponseForwardingTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-final class AnswersTest {
+final class ResponseForwardingTest {
     private static final String HOST = " HTTP/1.1\r\nHost: besuch.bern.example\r\n";
     private static final int CALLERS = 6;
     private static final int REQUESTS = 300;
@@ -50,7 +50,7 @@
                                 .addHosts("besuch.bern.example")
                                 .build());
         node = TestNode.start(tables.url(), settings -> {});
-        upstream = new FakeUpstream(node, "besuch", AnswersTest::answer);
+        upstream = new FakeUpstream(node, "besuch", ResponseForwardingTest::answer);
         TestNode.await("requests are answered", () -> ask("GET /body").contains(" 200 "));
     }
 
--- a/node/src/test/java/org/damaskmoor/node/internal/accounting/AccountingDutyTest.java
+++ b/node/src/test/java/org/damaskmoor/node/internal/accounting/AccountingManagerTest.java
@@ -16,8 +16,8 @@
 import org.damaskmoor.core.id.RegionName;
 import org.damaskmoor.core.id.ServiceName;
 import org.damaskmoor.mesh.MeshLink;
-import org.damaskmoor.node.internal.duty.ManualLoop;
 import org.damaskmoor.node.internal.entry.Refusal;
+import org.damaskmoor.node.internal.eventloop.ManualEventLoop;
 import org.damaskmoor.node.internal.members.MemberDirectory;
 import org.damaskmoor.schema.accounting.RefusalObject;
 import org.damaskmoor.schema.gossip.MemberRecord;
@@ -28,25 +28,25 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 import org.junit.jupiter.api.Test;
 
-class AccountingDutyTest {
+class AccountingManagerTest {
     private static final NodeId SELF = new NodeId("owner");
     private static final Incarnation INCARNATION = new Incarnation(7);
     private static final MemberRecord PEER = member("peer", "west", "west-2");
     private static final int RING_REFUSALS = 16_384;
     private static final long LONGEST_MILLISECONDS = 3_600_000;
 
-    private final ManualLoop loop = new ManualLoop();
+    private final ManualEventLoop loop = new ManualEventLoop();
     private final MemberDirectory members = new MemberDirectory();
     private final AccountingPeers peers =
             new AccountingPeers(members, new DataCentreName("west-1"), new RegionName("west"));
     private final List<RefusalBatch> sent = new ArrayList<>();
     private final List<MeshFrame> replies = new ArrayList<>();
     private final List<String> answered = new ArrayList<>();
-    private final MemoryObjectStore store = new MemoryObjectStore();
-    private final AccountingDuty accounting = new AccountingDuty(SELF, INCARNATION, parts());
+    private final InMemoryObjectStore store = new InMemoryObjectStore();
+    private final AccountingManager accounting = new AccountingManager(SELF, INCARNATION, parts());
 
-    private AccountingParts parts() {
-        return new AccountingParts(
+    private AccountingDependencies parts() {
+        return new AccountingDependencies(
                 loop::nanoseconds,
                 () -> TimeUnit.NANOSECONDS.toMillis(loop.nanoseconds()),
                 loop,
@@ -127,9 +127,9 @@
 
             // when
             if (restarts) {
-                accounting.onPresent(PEER.toBuilder().setIncarnation(2).build());
+                accounting.onMemberPresent(PEER.toBuilder().setIncarnation(2).build());
             } else {
-                accounting.onGone(PEER);
+                accounting.onMemberGone(PEER);
             }
             loop.advance(100);
 
@@ -157,7 +157,7 @@
 
     private void start(MemberRecord... present) {
         members.publish(List.of(present));
-        List.of(present).forEach(accounting::onPresent);
+        List.of(present).forEach(accounting::onMemberPresent);
         accounting.start();
         loop.run();
     }
@@ -210,7 +210,7 @@
     }
 
     private static MeshFrame batchOfPeer() {
-        RefusalObject counts = MemoryObjectStore.refusals("peer", 5);
+        RefusalObject counts = InMemoryObjectStore.refusals("peer", 5);
         return MeshFrame.newBuilder()
                 .setRefusalBatch(
                         RefusalBatch.newBuilder()
--- a/node/src/test/java/org/damaskmoor/node/internal/accounting/MemoryObjectStore.java
+++ b/node/src/test/java/org/damaskmoor/node/internal/accounting/InMemoryObjectStore.java
@@ -12,7 +12,7 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /** An object store in memory that answers at once. */
-final class MemoryObjectStore implements ObjectStore {
+final class InMemoryObjectStore implements ObjectStore {
     private final TreeMap<String, ByteString> objects = new TreeMap<>();
 
     static RefusalObject refusals(String node, int count) {
--- a/node/src/test/java/org/damaskmoor/node/internal/accounting/ServiceLevelOutcomesTest.java
+++ b/node/src/test/java/org/damaskmoor/node/internal/accounting/ServiceLevelRecorderTest.java
@@ -5,8 +5,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import org.damaskmoor.core.accounting.EndedRequest;
-import org.damaskmoor.core.accounting.RequestEnd;
+import org.damaskmoor.core.accounting.CompletedRequest;
+import org.damaskmoor.core.accounting.RequestOutcome;
 import org.damaskmoor.core.configuration.ServiceMatcher;
 import org.damaskmoor.core.id.CallerName;
 import org.damaskmoor.core.id.ServiceName;
@@ -18,7 +18,7 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 import org.junit.jupiter.api.Test;
 
-class ServiceLevelOutcomesTest {
+class ServiceLevelRecorderTest {
     private static final ServiceMatcher SERVICES =
             ServiceMatcher.of(
                     List.of(
@@ -32,15 +32,15 @@
                                                     .addObjectives(objective("lookup", 100)))
                                     .build()));
 
-    private final List<EndedRequest> ended = new ArrayList<>();
+    private final List<CompletedRequest> ended = new ArrayList<>();
 
     @Test
     void should_judge_answers_by_the_objective_of_their_kind_or_else_of_all_kinds() {
-        assertThat(answered("lookup", 200, 100)).isEqualTo(RequestEnd.ANSWERED_IN_TIME);
-        assertThat(answered("lookup", 200, 101)).isEqualTo(RequestEnd.LATE);
-        assertThat(answered("booking", 200, 101)).isEqualTo(RequestEnd.ANSWERED_IN_TIME);
-        assertThat(answered("booking", 200, 501)).isEqualTo(RequestEnd.LATE);
-        assertThat(answered("lookup", 503, 1)).isEqualTo(RequestEnd.FAILED);
+        assertThat(answered("lookup", 200, 100)).isEqualTo(RequestOutcome.ANSWERED_IN_TIME);
+        assertThat(answered("lookup", 200, 101)).isEqualTo(RequestOutcome.LATE);
+        assertThat(answered("booking", 200, 101)).isEqualTo(RequestOutcome.ANSWERED_IN_TIME);
+        assertThat(answered("booking", 200, 501)).isEqualTo(RequestOutcome.LATE);
+        assertThat(answered("lookup", 503, 1)).isEqualTo(RequestOutcome.FAILED);
     }
 
     @Test
@@ -48,17 +48,17 @@
         outcomes(1).onRefused(template("lookup"), RefusalReason.NOT_ALLOWED);
         assertThat(ended).isEmpty();
         outcomes(1).onRefused(template("lookup"), RefusalReason.QUEUE_FULL);
-        assertThat(ended.get(0).end()).isEqualTo(RequestEnd.REFUSED);
+        assertThat(ended.get(0).end()).isEqualTo(RequestOutcome.REFUSED);
         assertThat(ended.get(0).weight()).isEqualTo(5);
     }
 
-    private RequestEnd answered(String kind, int status, long latencyMilliseconds) {
+    private RequestOutcome answered(String kind, int status, long latencyMilliseconds) {
         outcomes(latencyMilliseconds).onAnswered(template(kind), status);
         return ended.get(ended.size() - 1).end();
     }
 
-    private ServiceLevelOutcomes outcomes(long milliseconds) {
-        return new ServiceLevelOutcomes(
+    private ServiceLevelRecorder outcomes(long milliseconds) {
+        return new ServiceLevelRecorder(
                 () -> SERVICES,
                 () -> TimeUnit.MILLISECONDS.toNanos(milliseconds),
                 () -> milliseconds,
--- a/node/src/test/java/org/damaskmoor/node/internal/claims/MemoryTables.java
+++ b/node/src/test/java/org/damaskmoor/node/internal/claims/InMemoryTableService.java
@@ -18,7 +18,7 @@
 import org.damaskmoor.platform.WriteResult;
 
 /** A table service in memory whose writes and reads can be made to fail. */
-final class MemoryTables implements TableService {
+final class InMemoryTableService implements TableService {
     /** What becomes of the next write instead of an answer. */
     enum Fault {
         LOST_ANSWER,
--- a/node/src/test/java/org/damaskmoor/node/internal/claims/TableClaimsTest.java
+++ b/node/src/test/java/org/damaskmoor/node/internal/claims/TableClaimServiceTest.java
@@ -6,22 +6,22 @@
 import java.util.List;
 import org.damaskmoor.core.id.Incarnation;
 import org.damaskmoor.core.id.NodeId;
-import org.damaskmoor.node.internal.claims.MemoryTables.Fault;
-import org.damaskmoor.node.internal.duty.ManualLoop;
+import org.damaskmoor.node.internal.claims.InMemoryTableService.Fault;
+import org.damaskmoor.node.internal.eventloop.ManualEventLoop;
 import org.damaskmoor.node.internal.target.ClaimService.Claim;
 import org.damaskmoor.schema.mesh.Call;
 import org.damaskmoor.schema.mesh.RequestId;
 import org.junit.jupiter.api.Test;
 
-class TableClaimsTest {
-    private final MemoryTables tables = new MemoryTables();
-    private final ManualLoop upstream = new ManualLoop();
-    private final ManualLoop later = new ManualLoop();
-    private final TableClaims first = claims("first");
-    private final TableClaims second = claims("second");
+class TableClaimServiceTest {
+    private final InMemoryTableService tables = new InMemoryTableService();
+    private final ManualEventLoop upstream = new ManualEventLoop();
+    private final ManualEventLoop later = new ManualEventLoop();
+    private final TableClaimService first = claims("first");
+    private final TableClaimService second = claims("second");
 
-    private TableClaims claims(String node) {
-        return new TableClaims(
+    private TableClaimService claims(String node) {
+        return new TableClaimService(
                 new NodeId(node), new Incarnation(1), tables, () -> 1_000, upstream, later);
     }
 
@@ -84,7 +84,7 @@
         assertThat(claim(first, call(2, 1))).isEqualTo(Claim.TAKEN);
     }
 
-    private Claim claim(TableClaims claims, Call call) {
+    private Claim claim(TableClaimService claims, Call call) {
         List<Claim> results = new ArrayList<>();
         claims.claim(call, results::add);
         assertThat(results).isEmpty();
--- a/node/src/test/java/org/damaskmoor/node/internal/duty/ManualLoop.java
+++ b/node/src/test/java/org/damaskmoor/node/internal/eventloop/ManualEventLoop.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.node.internal.duty;
+package org.damaskmoor.node.internal.eventloop;
 
 import java.util.ArrayDeque;
 import java.util.Comparator;
@@ -8,7 +8,7 @@
 import org.damaskmoor.node.internal.time.Timers;
 
 /** The event loops and the clock of a node under test; everything runs when the test says so. */
-public final class ManualLoop implements Executor {
+public final class ManualEventLoop implements Executor {
     private record Timer(long dueNanoseconds, Runnable task) {}
 
     private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
--- a/node/src/test/java/org/damaskmoor/node/internal/load/LoadProbesTest.java
+++ b/node/src/test/java/org/damaskmoor/node/internal/load/LoadProberTest.java
@@ -23,7 +23,7 @@
 import org.damaskmoor.schema.mesh.UpstreamState;
 import org.junit.jupiter.api.Test;
 
-class LoadProbesTest {
+class LoadProberTest {
     private static final RegionName REGION = new RegionName("mittelland");
     private static final DataCentreName CENTRE = new DataCentreName("bern-nord");
     private static final NodeId SELF = new NodeId("node-0");
@@ -31,30 +31,30 @@
     private static final int SECONDS = 20;
 
     private final MetricRegistry metrics = new MetricRegistry();
-    private final MeasuringCounters counters = new MeasuringCounters(metrics);
+    private final MeasurementCounters counters = new MeasurementCounters(metrics);
     private final List<NodeId> probed = new ArrayList<>();
     private long now = TimeUnit.SECONDS.toNanos(1);
 
     @Test
     void should_probe_others_within_the_budget_when_no_answer_tells_of_them() {
         // given
-        LoadProbes probes =
-                new LoadProbes(
+        LoadProber probes =
+                new LoadProber(
                         SELF,
                         REGION,
                         BYTES_PER_SECOND,
                         counters,
                         (node, frame) -> probed.add(node),
                         () -> now);
-        List<Target> targets = IntStream.range(0, 30).mapToObj(LoadProbesTest::target).toList();
-        Router router = probes.around(new ServiceName("besuch"), router());
+        List<Target> targets = IntStream.range(0, 30).mapToObj(LoadProberTest::target).toList();
+        Router router = probes.wrap(new ServiceName("besuch"), router());
         router.updateTargets(targets, now);
 
         // when
         for (int tick = 0; tick < SECONDS * 10; tick++) {
             router.onSent(targets.get(0).id(), now);
             probes.tick();
-            now += TimeUnit.MILLISECONDS.toNanos(LoadProbes.TICK_MILLISECONDS);
+            now += TimeUnit.MILLISECONDS.toNanos(LoadProber.TICK_MILLISECONDS);
         }
 
         // then
@@ -68,8 +68,8 @@
     @Test
     void should_send_whole_reports_within_the_budget_and_empty_ones_beyond_it() {
         // given
-        LoadReports reports =
-                new LoadReports(SELF, peer -> true, BYTES_PER_SECOND, counters, () -> now);
+        LoadReportLimiter reports =
+                new LoadReportLimiter(SELF, peer -> true, BYTES_PER_SECOND, counters, () -> now);
         LoadReport whole = LoadReport.newBuilder().setInFlight(5).setLimit(10).build();
 
         // when
@@ -80,7 +80,7 @@
         }
 
         // then
-        long budget = LoadReports.MEASURING_BYTES_PER_SECOND - BYTES_PER_SECOND;
+        long budget = LoadReportLimiter.MEASURING_BYTES_PER_SECOND - BYTES_PER_SECOND;
         assertThat(sent).isGreaterThan(0);
         assertThat(counted("damaskmoor_measuring_bytes_total{kind=\"report\"}")).isAtMost(budget);
         assertThat(counted("damaskmoor_paid_link_measuring_bytes_total{kind=\"report\"}"))
--- a/node/src/test/java/org/damaskmoor/node/internal/members/MembershipDutyTest.java
+++ b/node/src/test/java/org/damaskmoor/node/internal/members/MembershipManagerTest.java
@@ -14,7 +14,7 @@
 import org.damaskmoor.schema.mesh.UpstreamState;
 import org.junit.jupiter.api.Test;
 
-class MembershipDutyTest {
+class MembershipManagerTest {
     private static final ServiceName BESUCH = new ServiceName("besuch");
     private static final MemberRecord SELF =
             MemberRecord.newBuilder()
@@ -30,12 +30,12 @@
     private final AtomicLong now = new AtomicLong(1_000);
     private final MemberDirectory directory = new MemberDirectory();
 
-    private final MembershipDuty duty =
-            new MembershipDuty(
+    private final MembershipManager duty =
+            new MembershipManager(
                     SELF,
                     (message, to) -> {},
                     GossipExtension.NONE,
-                    new JoinPoints(silentTables()),
+                    new SeedNodeRegistry(silentTables()),
                     directory,
                     new SilentListener(),
                     Runnable::run,
@@ -59,7 +59,7 @@
 
         // when
         duty.protocol().announceService(BESUCH, now.get());
-        duty.protocol().announceSelf(UpstreamState.SERVING, 10, now.get());
+        duty.protocol().announceUpstream(UpstreamState.SERVING, 10, now.get());
         now.addAndGet(1_000);
         duty.tick();
 
@@ -68,7 +68,7 @@
         assertThat(directory.targets(BESUCH).get(0).state()).isEqualTo(UpstreamState.SERVING);
     }
 
-    private static final class SilentListener implements MembershipDuty.MembershipListener {
+    private static final class SilentListener implements MembershipManager.MembershipListener {
         @Override
         public void onPublished() {}
 
--- a/node/src/test/java/org/damaskmoor/node/internal/metrics/NodeMetricTest.java
+++ b/node/src/test/java/org/damaskmoor/node/internal/metrics/NodeMetricTest.java
@@ -21,7 +21,7 @@
                             "| `%s` | %s | %s |",
                             metric.metricName(),
                             metric.kind().name().toLowerCase(java.util.Locale.ROOT),
-                            metric.meaning());
+                            metric.description());
             assertThat(page).contains(row);
         }
     }
@@ -30,10 +30,10 @@
     void should_escape_the_label_and_name_the_type_when_written() {
         // given
         MetricRegistry registry = new MetricRegistry();
-        registry.counter(NodeMetric.REFUSED.with("reason", "a\"b\\c\nd")).inc();
+        registry.counter(NodeMetric.REFUSED.withLabel("reason", "a\"b\\c\nd")).inc();
 
         // when
-        String text = new MetricsText(registry).prometheus();
+        String text = new MetricsFormatter(registry).toPrometheusText();
 
         // then
         assertThat(text).contains("# TYPE damaskmoor_requests_refused_total counter\n");
--- a/node/src/test/java/org/damaskmoor/node/internal/security/NodeSecurityTest.java
+++ b/node/src/test/java/org/damaskmoor/node/internal/security/NodeTlsTest.java
@@ -30,8 +30,8 @@
 import org.damaskmoor.mesh.MeshLink;
 import org.damaskmoor.mesh.MeshListener;
 import org.damaskmoor.mesh.MeshPeer;
-import org.damaskmoor.mesh.MeshSecurity;
 import org.damaskmoor.mesh.MeshSettings;
+import org.damaskmoor.mesh.MeshTls;
 import org.damaskmoor.mesh.NettyMeshTransport;
 import org.damaskmoor.node.NodeMain;
 import org.damaskmoor.node.internal.operator.OperatorServer;
@@ -45,7 +45,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class NodeSecurityTest {
+class NodeTlsTest {
     private static final NodeId TARGET = new NodeId("target");
     private static final MeshFrame FRAME =
             MeshFrame.newBuilder().setLoadProbe(LoadProbe.newBuilder().setProbeId(7)).build();
@@ -53,16 +53,16 @@
 
     @TempDir static Path directory;
 
-    private static TestAuthority authority;
-    private static TestAuthority stranger;
+    private static TestCertificateAuthority authority;
+    private static TestCertificateAuthority stranger;
 
     private final List<NettyMeshTransport> transports = new ArrayList<>();
 
     @BeforeAll
     static void makeCertificates() throws IOException, InterruptedException {
-        authority = new TestAuthority(directory, "authority");
+        authority = new TestCertificateAuthority(directory, "authority");
         authority.sign("node");
-        stranger = new TestAuthority(directory, "stranger");
+        stranger = new TestCertificateAuthority(directory, "stranger");
         stranger.sign("intruder");
     }
 
@@ -152,7 +152,7 @@
 
         // when
         SettingsException failure =
-                assertThrows(SettingsException.class, () -> NodeSecurity.read(settings));
+                assertThrows(SettingsException.class, () -> NodeTls.read(settings));
 
         // then
         assertThat(failure)
@@ -185,11 +185,7 @@
         MeshPeer peer = start(target, nodeSecurity().mesh());
         Received entry = new Received();
         NettyMeshTransport refused =
-                transport(
-                        "entry",
-                        0,
-                        entry,
-                        new MeshSecurity(nodeSecurity().mesh().server(), client));
+                transport("entry", 0, entry, new MeshTls(nodeSecurity().mesh().server(), client));
         refused.send(peer, FRAME);
         assertThat(entry.failures.poll(FAILED_TEST_SECONDS, TimeUnit.SECONDS)).isNotNull();
         assertThat(target.frames).isEmpty();
@@ -213,14 +209,14 @@
         }
     }
 
-    private MeshPeer start(Received listener, MeshSecurity security) throws IOException {
+    private MeshPeer start(Received listener, MeshTls security) throws IOException {
         int port = freePort();
         transport("target", port, listener, security).start().join();
         return new MeshPeer(TARGET, new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
     }
 
     private NettyMeshTransport transport(
-            String node, int port, MeshListener listener, MeshSecurity security) {
+            String node, int port, MeshListener listener, MeshTls security) {
         MeshSettings settings =
                 new MeshSettings(
                         new NodeId(node),
@@ -243,8 +239,8 @@
         }
     }
 
-    private static NodeSecurity nodeSecurity() throws Exception {
-        return NodeSecurity.read(settings()).orElseThrow();
+    private static NodeTls nodeSecurity() throws Exception {
+        return NodeTls.read(settings()).orElseThrow();
     }
 
     private static NodeSettings settings() throws IOException, GeneralSecurityException {
--- a/node/src/test/java/org/damaskmoor/node/internal/security/TestAuthority.java
+++ b/node/src/test/java/org/damaskmoor/node/internal/security/TestCertificateAuthority.java
@@ -16,7 +16,7 @@
  * An authority and certificates signed by it, as PEM files. The JDK has no public API that makes
  * certificates, so its own program {@code keytool} makes them when a test is set up.
  */
-final class TestAuthority {
+final class TestCertificateAuthority {
     /** The same for all, so that only the signature tells one authority from another. */
     private static final String SUBJECT = "CN=authority";
 
@@ -27,7 +27,7 @@
     private final Path directory;
     private final String name;
 
-    TestAuthority(Path directory, String name) throws IOException, InterruptedException {
+    TestCertificateAuthority(Path directory, String name) throws IOException, InterruptedException {
         this.directory = directory;
         this.name = name;
         generate(name, SUBJECT, "-ext", "bc:critical=ca:true");
--- a/node/src/test/java/org/damaskmoor/node/internal/target/HttpUpstreamClientTest.java
+++ b/node/src/test/java/org/damaskmoor/node/internal/target/HttpUpstreamClientTest.java
@@ -12,7 +12,7 @@
 import java.net.Socket;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.damaskmoor.node.internal.duty.DutyLoop;
+import org.damaskmoor.node.internal.eventloop.EventLoopThread;
 import org.damaskmoor.schema.mesh.Call;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -23,7 +23,7 @@
     private static final long PATIENCE_MILLISECONDS = 2000;
 
     private ServerSocket upstream;
-    private DutyLoop loop;
+    private EventLoopThread loop;
     private HttpUpstreamClient client;
     private volatile boolean closesAfterAnswer;
 
@@ -36,8 +36,8 @@
     @BeforeEach
     void start() throws IOException {
         upstream = new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
-        loop = new DutyLoop("upstream");
-        client = new HttpUpstreamClient(loop.loop(), MAXIMUM_BODY_BYTES);
+        loop = new EventLoopThread("upstream");
+        client = new HttpUpstreamClient(loop.eventLoop(), MAXIMUM_BODY_BYTES);
     }
 
     @AfterEach
--- a/node/src/test/java/org/damaskmoor/node/internal/target/TargetDispatcherClaimTest.java
+++ b/node/src/test/java/org/damaskmoor/node/internal/target/TargetDispatcherClaimTest.java
@@ -8,11 +8,11 @@
 import java.util.function.Consumer;
 import org.damaskmoor.core.admission.AdmissionController;
 import org.damaskmoor.core.admission.AdmissionOptions;
+import org.damaskmoor.core.atmostonce.LedgerLimits;
+import org.damaskmoor.core.atmostonce.TargetLedger;
 import org.damaskmoor.core.id.Incarnation;
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.core.id.ServiceName;
-import org.damaskmoor.core.once.LedgerLimits;
-import org.damaskmoor.core.once.TargetLedger;
 import org.damaskmoor.mesh.MeshLink;
 import org.damaskmoor.node.internal.target.ClaimService.Claim;
 import org.damaskmoor.schema.mesh.Call;
@@ -52,14 +52,14 @@
                 0);
         AdmissionController admission =
                 AdmissionController.create(new AdmissionOptions(0, 10, Map.of()));
-        admission.onUpstream(UpstreamState.SERVING, 10, 10);
+        admission.onUpstreamState(UpstreamState.SERVING, 10, 10);
         return new TargetDispatcher(
                 TargetLedger.bounded(new Incarnation(1), new LedgerLimits(100, 1_000, 100)),
                 admission,
                 upstream,
                 (address, call, remaining, whenDone) -> runs.add(whenDone),
                 new RecordingClaims(),
-                new CrashWatch(new NodeId("b"), new Incarnation(1), () -> 0, record -> {}),
+                new CrashDetector(new NodeId("b"), new Incarnation(1), () -> 0, record -> {}),
                 new TargetTiming(() -> 0, () -> NOW_MILLISECONDS, 0),
                 (peer, report) -> report);
     }
--- a/operator/src/main/java/org/damaskmoor/operator/OperatorProgram.java
+++ b/operator/src/main/java/org/damaskmoor/operator/OperatorCli.java
@@ -5,6 +5,7 @@
 import com.github.rvesse.airline.parser.errors.ParseException;
 import java.util.List;
 import org.damaskmoor.core.settings.SettingsException;
+import org.damaskmoor.operator.internal.command.CommandContext;
 import org.damaskmoor.operator.internal.command.CompletionCommand;
 import org.damaskmoor.operator.internal.command.DrainCommand;
 import org.damaskmoor.operator.internal.command.ExplainCommand;
@@ -14,7 +15,6 @@
 import org.damaskmoor.operator.internal.command.ServiceDeleteCommand;
 import org.damaskmoor.operator.internal.command.ServiceListCommand;
 import org.damaskmoor.operator.internal.command.ServiceShowCommand;
-import org.damaskmoor.operator.internal.command.Session;
 import org.damaskmoor.operator.internal.command.StatusCommand;
 
 /**
@@ -26,12 +26,12 @@
  *
  * <p>Confined to one thread.
  */
-public final class OperatorProgram {
+public final class OperatorCli {
     private static final String NAME = "damaskmoor-operator";
 
-    private final Session session;
+    private final CommandContext session;
 
-    public OperatorProgram(Session session) {
+    public OperatorCli(CommandContext session) {
         this.session = session;
     }
 
@@ -39,7 +39,7 @@
     public ExitCode run(String... arguments) {
         try {
             OperatorCommand command = commands().parse(arguments);
-            if (command.help().asked()) {
+            if (command.help().isRequested()) {
                 command.help().show(session.output());
                 return ExitCode.SUCCESS;
             }
--- a/operator/src/main/java/org/damaskmoor/operator/OperatorClient.java
+++ b/operator/src/main/java/org/damaskmoor/operator/OperatorClient.java
@@ -8,7 +8,7 @@
 import java.util.function.Function;
 import org.damaskmoor.core.settings.SettingsException;
 import org.damaskmoor.operator.internal.call.Channels;
-import org.damaskmoor.operator.internal.call.FailureReader;
+import org.damaskmoor.operator.internal.call.StatusExceptionMapper;
 import org.damaskmoor.schema.configuration.ServiceConfiguration;
 import org.damaskmoor.schema.configuration.VersionedConfiguration;
 import org.damaskmoor.schema.operator.ApplyServiceRequest;
@@ -109,7 +109,7 @@
             if (failure.getStatus().getCode() == Status.Code.NOT_FOUND) {
                 return Optional.empty();
             }
-            throw reader("show").read(failure);
+            throw reader("show").toException(failure);
         }
     }
 
@@ -150,7 +150,7 @@
         try {
             return call.apply(stub());
         } catch (StatusRuntimeException failure) {
-            throw reader(step).read(failure);
+            throw reader(step).toException(failure);
         }
     }
 
@@ -160,7 +160,7 @@
         try {
             return call.apply(stub());
         } catch (StatusRuntimeException failure) {
-            throw reader(step).readChange(failure, repetition);
+            throw reader(step).toChangeException(failure, repetition);
         }
     }
 
@@ -169,8 +169,8 @@
         return "--operation-id " + operationId + " --expected-version " + expectedVersion;
     }
 
-    private FailureReader reader(String step) {
-        return new FailureReader(step, settings.getNode());
+    private StatusExceptionMapper reader(String step) {
+        return new StatusExceptionMapper(step, settings.getNode());
     }
 
     private OperatorServiceBlockingStub stub() {
--- a/operator/src/main/java/org/damaskmoor/operator/OperatorMain.java
+++ b/operator/src/main/java/org/damaskmoor/operator/OperatorMain.java
@@ -2,7 +2,7 @@
 
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import org.damaskmoor.operator.internal.command.Session;
+import org.damaskmoor.operator.internal.command.CommandContext;
 
 /** Entry point of the binary damaskmoor-operator. */
 public final class OperatorMain {
@@ -12,7 +12,8 @@
 
     public static void main(String[] arguments) {
         TRANSPORT_LOGGER.setLevel(Level.SEVERE);
-        Session session = new Session(System.getenv(), System.in, System.out, System.err);
-        System.exit(new OperatorProgram(session).run(arguments).code());
+        CommandContext session =
+                new CommandContext(System.getenv(), System.in, System.out, System.err);
+        System.exit(new OperatorCli(session).run(arguments).code());
     }
 }
--- a/operator/src/main/java/org/damaskmoor/operator/internal/call/FailureReader.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/call/StatusExceptionMapper.java
@@ -20,7 +20,7 @@
  * <p>Invariant: a change is called not accepted only when the node said so, or when no connection
  * was opened. Immutable and thread-safe.
  */
-public final class FailureReader {
+public final class StatusExceptionMapper {
     private final String step;
     private final String node;
 
@@ -30,13 +30,13 @@
      * @param step what was tried, for example {@code apply}
      * @param node the node that was called
      */
-    public FailureReader(String step, String node) {
+    public StatusExceptionMapper(String step, String node) {
         this.step = step;
         this.node = node;
     }
 
     /** What the failure of a call that changes nothing means. */
-    public OperatorException read(StatusRuntimeException failure) {
+    public OperatorException toException(StatusRuntimeException failure) {
         if (failure.getStatus().getCode() == Status.Code.NOT_FOUND) {
             return failed(failure, "Check the name: list the services, or ask for the status.");
         }
@@ -51,7 +51,7 @@
      *
      * @param repetition the flags by which the same change is made again
      */
-    public OperatorException readChange(StatusRuntimeException failure, String repetition) {
+    public OperatorException toChangeException(StatusRuntimeException failure, String repetition) {
         Metadata trailers = failure.getTrailers();
         Metadata present = trailers == null ? new Metadata() : trailers;
         Conflict conflict = present.get(OperatorTrailers.CONFLICT);
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/ChangeFlags.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/ChangeFlags.java
@@ -27,22 +27,22 @@
                             + " Default: a random one, which is printed.")
     private String operationId;
 
-    void check() throws SettingsException {
+    void validate() throws SettingsException {
         if (expectedVersion != null && !expectedVersion.matches("[0-9]{1,18}")) {
-            throw NodeCallCommand.fault(
+            throw NodeCallCommand.invalidValue(
                     EXPECTED_VERSION, expectedVersion, "0 to 999999999999999999");
         }
     }
 
     /** The id that was given or a random one, told in the notes before the change is sent. */
-    String operationId(Session session) {
+    String operationId(CommandContext session) {
         String id = operationId == null ? UUID.randomUUID().toString() : operationId;
         session.notes().println("operation id: " + id);
         return id;
     }
 
     /** The version that was given or the one that the node holds. */
-    long expectedVersion(OperatorClient client, String service, Session session)
+    long expectedVersion(OperatorClient client, String service, CommandContext session)
             throws OperatorException {
         if (expectedVersion != null) {
             return Long.parseLong(expectedVersion);
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/Session.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/CommandContext.java
@@ -12,7 +12,7 @@
  * @param output standard output: results
  * @param notes standard error: progress and failures
  */
-public record Session(
+public record CommandContext(
         Map<String, String> environment,
         InputStream input,
         PrintStream output,
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/CompletionCommand.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/CompletionCommand.java
@@ -29,9 +29,9 @@
     }
 
     @Override
-    public ExitCode run(Session session) throws SettingsException {
+    public ExitCode run(CommandContext session) throws SettingsException {
         if (!shell.equals(BASH)) {
-            throw NodeCallCommand.fault("shell", shell, BASH);
+            throw NodeCallCommand.invalidValue("shell", shell, BASH);
         }
         session.output().print(new BashCompletion(program).script());
         return ExitCode.SUCCESS;
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/DrainCommand.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/DrainCommand.java
@@ -7,7 +7,7 @@
 import org.damaskmoor.operator.ExitCode;
 import org.damaskmoor.operator.OperatorClient;
 import org.damaskmoor.operator.OperatorException;
-import org.damaskmoor.operator.internal.output.Output;
+import org.damaskmoor.operator.internal.output.ResponsePrinter;
 import org.damaskmoor.schema.operator.DrainNodeResponse;
 
 /** Drains a node. Confined to one thread. */
@@ -27,7 +27,8 @@
     }
 
     @Override
-    ExitCode call(OperatorClient client, Session session, Output output) throws OperatorException {
+    ExitCode call(OperatorClient client, CommandContext session, ResponsePrinter output)
+            throws OperatorException {
         DrainNodeResponse response = client.drain(node);
         if (!response.getStarted()) {
             throw new OperatorException(
@@ -36,7 +37,7 @@
                     response.getDetail(),
                     "Give the operator port of " + node + " with --node.");
         }
-        output.drain(node, response);
+        output.printDrain(node, response);
         return ExitCode.SUCCESS;
     }
 }
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/ExplainCommand.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/ExplainCommand.java
@@ -8,7 +8,7 @@
 import org.damaskmoor.operator.ExitCode;
 import org.damaskmoor.operator.OperatorClient;
 import org.damaskmoor.operator.OperatorException;
-import org.damaskmoor.operator.internal.output.Output;
+import org.damaskmoor.operator.internal.output.ResponsePrinter;
 import org.damaskmoor.schema.operator.ExplainRequest;
 
 /** Explains where a request would go. Confined to one thread. */
@@ -37,12 +37,13 @@
     void checkArguments() throws SettingsException {
         require("service", service, "the name of a service");
         if (!path.isEmpty() && !path.startsWith("/")) {
-            throw fault("--path", path, "a path that begins with /");
+            throw invalidValue("--path", path, "a path that begins with /");
         }
     }
 
     @Override
-    ExitCode call(OperatorClient client, Session session, Output output) throws OperatorException {
+    ExitCode call(OperatorClient client, CommandContext session, ResponsePrinter output)
+            throws OperatorException {
         ExplainRequest request =
                 ExplainRequest.newBuilder()
                         .setService(service)
@@ -50,7 +51,7 @@
                         .setMethod(method)
                         .setPath(path)
                         .build();
-        output.explanation(client.explain(request));
+        output.printExplanation(client.explain(request));
         return ExitCode.SUCCESS;
     }
 }
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/HelpCommand.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/HelpCommand.java
@@ -34,9 +34,10 @@
     }
 
     @Override
-    public ExitCode run(Session session) throws SettingsException {
+    public ExitCode run(CommandContext session) throws SettingsException {
         if (!command.isEmpty() && !names().contains(command.get(0))) {
-            throw NodeCallCommand.fault("command", command.get(0), String.join(", ", names()));
+            throw NodeCallCommand.invalidValue(
+                    "command", command.get(0), String.join(", ", names()));
         }
         try {
             Help.help(program, command, session.output());
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/HelpFlag.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/HelpFlag.java
@@ -22,7 +22,7 @@
     private boolean asked;
 
     /** Whether help was asked for. */
-    public boolean asked() {
+    public boolean isRequested() {
         return asked;
     }
 
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/NodeCallCommand.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/NodeCallCommand.java
@@ -10,7 +10,7 @@
 import org.damaskmoor.operator.ExitCode;
 import org.damaskmoor.operator.OperatorClient;
 import org.damaskmoor.operator.OperatorException;
-import org.damaskmoor.operator.internal.output.Output;
+import org.damaskmoor.operator.internal.output.ResponsePrinter;
 import org.damaskmoor.schema.settings.OperatorSettings;
 import org.damaskmoor.schema.settings.OperatorSettingsOptions;
 
@@ -46,12 +46,13 @@
     }
 
     @Override
-    public final ExitCode run(Session session) throws SettingsException, OperatorException {
+    public final ExitCode run(CommandContext session) throws SettingsException, OperatorException {
         OperatorSettings settings =
                 SettingsReader.read(
                         OperatorSettings.getDefaultInstance(), given(), session.environment());
         checkArguments();
-        Output output = new Output(session.output(), settings.getOutput().equals("json"));
+        ResponsePrinter output =
+                new ResponsePrinter(session.output(), settings.getOutput().equals("json"));
         try (OperatorClient client = OperatorClient.open(settings)) {
             return call(client, session, output);
         }
@@ -61,18 +62,18 @@
     void checkArguments() throws SettingsException {}
 
     /** Calls the node and prints what it says. */
-    abstract ExitCode call(OperatorClient client, Session session, Output output)
+    abstract ExitCode call(OperatorClient client, CommandContext session, ResponsePrinter output)
             throws SettingsException, OperatorException;
 
     /** A single fault of a flag or argument. */
-    static SettingsException fault(String flag, String value, String allowed) {
+    static SettingsException invalidValue(String flag, String value, String allowed) {
         return new SettingsException(List.of(new SettingFault(flag, value, allowed)));
     }
 
     /** The value of a flag or argument that must be there. */
     static String require(String flag, String value, String allowed) throws SettingsException {
         if (value == null || value.isEmpty()) {
-            throw fault(flag, "", allowed);
+            throw invalidValue(flag, "", allowed);
         }
         return value;
     }
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/OperatorCommand.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/OperatorCommand.java
@@ -15,5 +15,5 @@
      * @throws SettingsException when a flag or an environment variable has a bad value
      * @throws OperatorException when the call did not succeed
      */
-    ExitCode run(Session session) throws SettingsException, OperatorException;
+    ExitCode run(CommandContext session) throws SettingsException, OperatorException;
 }
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/ServiceApplyCommand.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/ServiceApplyCommand.java
@@ -8,7 +8,7 @@
 import org.damaskmoor.operator.ExitCode;
 import org.damaskmoor.operator.OperatorClient;
 import org.damaskmoor.operator.OperatorException;
-import org.damaskmoor.operator.internal.output.Output;
+import org.damaskmoor.operator.internal.output.ResponsePrinter;
 import org.damaskmoor.schema.configuration.ServiceConfiguration;
 
 /** Creates or changes a service. Confined to one thread. */
@@ -37,16 +37,16 @@
     @Override
     void checkArguments() throws SettingsException {
         require("--file", file, "the name of a JSON file, or - for standard input");
-        change.check();
+        change.validate();
     }
 
     @Override
-    ExitCode call(OperatorClient client, Session session, Output output)
+    ExitCode call(OperatorClient client, CommandContext session, ResponsePrinter output)
             throws SettingsException, OperatorException {
         ServiceConfiguration service = ServiceFile.read(file, session.input());
         String operationId = change.operationId(session);
         long expected = change.expectedVersion(client, service.getName(), session);
-        output.change("applied", client.apply(service, expected, operationId));
+        output.printChange("applied", client.apply(service, expected, operationId));
         return ExitCode.SUCCESS;
     }
 }
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/ServiceDeleteCommand.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/ServiceDeleteCommand.java
@@ -8,7 +8,7 @@
 import org.damaskmoor.operator.ExitCode;
 import org.damaskmoor.operator.OperatorClient;
 import org.damaskmoor.operator.OperatorException;
-import org.damaskmoor.operator.internal.output.Output;
+import org.damaskmoor.operator.internal.output.ResponsePrinter;
 
 /** Deletes a service. Confined to one thread. */
 @Command(name = "delete", description = "Deletes a service; its requests are refused from then on.")
@@ -30,14 +30,15 @@
     @Override
     void checkArguments() throws SettingsException {
         require("service", name, "the name of a service");
-        change.check();
+        change.validate();
     }
 
     @Override
-    ExitCode call(OperatorClient client, Session session, Output output) throws OperatorException {
+    ExitCode call(OperatorClient client, CommandContext session, ResponsePrinter output)
+            throws OperatorException {
         String operationId = change.operationId(session);
         long expected = change.expectedVersion(client, name, session);
-        output.change("deleted", client.delete(name, expected, operationId));
+        output.printChange("deleted", client.delete(name, expected, operationId));
         return ExitCode.SUCCESS;
     }
 }
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/ServiceFile.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/ServiceFile.java
@@ -28,7 +28,7 @@
                             : Files.readAllBytes(Path.of(file));
             text = new String(bytes, StandardCharsets.UTF_8);
         } catch (IOException | IllegalArgumentException unreadable) {
-            throw NodeCallCommand.fault(
+            throw NodeCallCommand.invalidValue(
                     "--file", file, "a readable file or - for standard input (" + unreadable + ")");
         }
         return parse(file, text);
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/ServiceListCommand.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/ServiceListCommand.java
@@ -5,7 +5,7 @@
 import org.damaskmoor.operator.ExitCode;
 import org.damaskmoor.operator.OperatorClient;
 import org.damaskmoor.operator.OperatorException;
-import org.damaskmoor.operator.internal.output.Output;
+import org.damaskmoor.operator.internal.output.ResponsePrinter;
 
 /** Lists all services. Confined to one thread. */
 @Command(name = "list", description = "Lists the services that the node holds.")
@@ -14,8 +14,9 @@
         descriptions = "A line for each service: version, who changed it when, hosts, rules.")
 public final class ServiceListCommand extends NodeCallCommand {
     @Override
-    ExitCode call(OperatorClient client, Session session, Output output) throws OperatorException {
-        output.services(client.list());
+    ExitCode call(OperatorClient client, CommandContext session, ResponsePrinter output)
+            throws OperatorException {
+        output.printServices(client.list());
         return ExitCode.SUCCESS;
     }
 }
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/ServiceShowCommand.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/ServiceShowCommand.java
@@ -8,7 +8,7 @@
 import org.damaskmoor.operator.ExitCode;
 import org.damaskmoor.operator.OperatorClient;
 import org.damaskmoor.operator.OperatorException;
-import org.damaskmoor.operator.internal.output.Output;
+import org.damaskmoor.operator.internal.output.ResponsePrinter;
 import org.damaskmoor.schema.configuration.VersionedConfiguration;
 
 /** Shows one service. Confined to one thread. */
@@ -32,7 +32,8 @@
     }
 
     @Override
-    ExitCode call(OperatorClient client, Session session, Output output) throws OperatorException {
+    ExitCode call(OperatorClient client, CommandContext session, ResponsePrinter output)
+            throws OperatorException {
         Optional<VersionedConfiguration> found = client.find(name);
         if (found.isEmpty()) {
             throw new OperatorException(
@@ -41,7 +42,7 @@
                     "The node holds no such service, or it was deleted.",
                     "List the services with 'service list'.");
         }
-        output.service(found.get());
+        output.printService(found.get());
         return ExitCode.SUCCESS;
     }
 }
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/StatusCommand.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/StatusCommand.java
@@ -5,7 +5,7 @@
 import org.damaskmoor.operator.ExitCode;
 import org.damaskmoor.operator.OperatorClient;
 import org.damaskmoor.operator.OperatorException;
-import org.damaskmoor.operator.internal.output.Output;
+import org.damaskmoor.operator.internal.output.ResponsePrinter;
 
 /** Shows all nodes and who is behind. Confined to one thread. */
 @Command(
@@ -16,8 +16,9 @@
         descriptions = "Prints the GetStatusResponse of the schema, for tooling.")
 public final class StatusCommand extends NodeCallCommand {
     @Override
-    ExitCode call(OperatorClient client, Session session, Output output) throws OperatorException {
-        output.status(client.status());
+    ExitCode call(OperatorClient client, CommandContext session, ResponsePrinter output)
+            throws OperatorException {
+        output.printStatus(client.status());
         return ExitCode.SUCCESS;
     }
 }
--- a/operator/src/main/java/org/damaskmoor/operator/internal/output/Output.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/output/ResponsePrinter.java
@@ -20,17 +20,17 @@
  * Prints answers as text for people or as the JSON form of the schema's messages. Confined to one
  * thread.
  */
-public final class Output {
+public final class ResponsePrinter {
     private final PrintStream stream;
     private final boolean json;
 
-    public Output(PrintStream stream, boolean json) {
+    public ResponsePrinter(PrintStream stream, boolean json) {
         this.stream = stream;
         this.json = json;
     }
 
     /** An accepted change. */
-    public void change(String done, ApplyServiceResponse response) {
+    public void printChange(String done, ApplyServiceResponse response) {
         if (json) {
             printJson(response);
             return;
@@ -44,7 +44,7 @@
     }
 
     /** One service. */
-    public void service(VersionedConfiguration service) {
+    public void printService(VersionedConfiguration service) {
         if (json) {
             printJson(service);
         } else {
@@ -54,14 +54,14 @@
     }
 
     /** All services. */
-    public void services(ListServicesResponse services) {
+    public void printServices(ListServicesResponse services) {
         if (json) {
             printJson(services);
             return;
         }
         TextTable table = new TextTable("SERVICE", "VERSION", "CHANGED-BY", "CHANGED-AT", "RULES");
         for (VersionedConfiguration service : services.getConfigurationsList()) {
-            table.row(
+            table.addRow(
                     service.getService().getName(),
                     String.valueOf(service.getVersion()),
                     service.getChangedBy(),
@@ -72,7 +72,7 @@
     }
 
     /** All nodes. */
-    public void status(GetStatusResponse status) {
+    public void printStatus(GetStatusResponse status) {
         if (json) {
             printJson(status);
             return;
@@ -83,7 +83,9 @@
         TextTable versions = new TextTable("SERVICE", "VERSION");
         status.getVersionsList()
                 .forEach(
-                        held -> versions.row(held.getService(), String.valueOf(held.getVersion())));
+                        held ->
+                                versions.addRow(
+                                        held.getService(), String.valueOf(held.getVersion())));
         stream.print(versions);
         List<String> behind =
                 status.getNodesList().stream()
@@ -94,7 +96,7 @@
     }
 
     /** A node that is drained. */
-    public void drain(String node, DrainNodeResponse response) {
+    public void printDrain(String node, DrainNodeResponse response) {
         if (json) {
             printJson(response);
         } else {
@@ -103,7 +105,7 @@
     }
 
     /** Where a request would go. */
-    public void explanation(ExplainResponse explained) {
+    public void printExplanation(ExplainResponse explained) {
         if (json) {
             printJson(explained);
             return;
@@ -115,7 +117,7 @@
         stream.println("decision: " + explained.getDecision());
         TextTable table = new TextTable("NODE", "DISTANCE", "COST-MS", "DETAIL");
         for (CandidateExplanation candidate : explained.getCandidatesList()) {
-            table.row(
+            table.addRow(
                     candidate.getNodeId(),
                     candidate.getDistance(),
                     String.format(Locale.ROOT, "%.2f", candidate.getCostMilliseconds()),
@@ -137,7 +139,7 @@
                         "IN-FLIGHT",
                         "LIMIT");
         for (NodeStatus node : status.getNodesList()) {
-            table.row(
+            table.addRow(
                     node.getNodeId(),
                     node.getRegion(),
                     node.getDataCentre(),
--- a/operator/src/main/java/org/damaskmoor/operator/internal/output/TextTable.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/output/TextTable.java
@@ -13,11 +13,11 @@
 
     TextTable(String... titles) {
         widths = new int[titles.length];
-        row(titles);
+        addRow(titles);
     }
 
     /** Adds a row with as many cells as there are titles. */
-    void row(String... cells) {
+    void addRow(String... cells) {
         String[] filled = new String[widths.length];
         for (int column = 0; column < widths.length; column++) {
             filled[column] = cells[column].isEmpty() ? EMPTY_CELL : cells[column];
--- a/operator/src/test/java/org/damaskmoor/operator/FakeNode.java
+++ b/operator/src/test/java/org/damaskmoor/operator/FakeNode.java
@@ -17,21 +17,21 @@
 import org.damaskmoor.core.id.TargetId;
 import org.damaskmoor.core.membership.MembershipProtocol;
 import org.damaskmoor.core.membership.MembershipSettings;
-import org.damaskmoor.core.routing.CandidateWeight;
+import org.damaskmoor.core.routing.CandidateEstimate;
 import org.damaskmoor.core.routing.Distance;
 import org.damaskmoor.core.routing.Target;
 import org.damaskmoor.mesh.MeshPeer;
 import org.damaskmoor.mesh.MeshTransport;
-import org.damaskmoor.node.internal.configuration.ConfigurationDuty;
+import org.damaskmoor.node.internal.configuration.ConfigurationManager;
 import org.damaskmoor.node.internal.entry.RequestDescription;
 import org.damaskmoor.node.internal.entry.RequestExplanation;
 import org.damaskmoor.node.internal.members.MemberDirectory;
-import org.damaskmoor.node.internal.operator.DrainCall;
-import org.damaskmoor.node.internal.operator.ExplainCall;
+import org.damaskmoor.node.internal.operator.DrainHandler;
+import org.damaskmoor.node.internal.operator.ExplainHandler;
 import org.damaskmoor.node.internal.operator.OperatorServer;
 import org.damaskmoor.node.internal.operator.OperatorService;
-import org.damaskmoor.node.internal.operator.ServiceCalls;
-import org.damaskmoor.node.internal.operator.StatusCall;
+import org.damaskmoor.node.internal.operator.ServiceHandler;
+import org.damaskmoor.node.internal.operator.StatusHandler;
 import org.damaskmoor.schema.gossip.GossipMessage;
 import org.damaskmoor.schema.gossip.MemberRecord;
 import org.damaskmoor.schema.gossip.MemberState;
@@ -54,8 +54,8 @@
 
     FakeNode() {
         MemberDirectory members = new MemberDirectory();
-        ConfigurationDuty configuration =
-                new ConfigurationDuty(
+        ConfigurationManager configuration =
+                new ConfigurationManager(
                         control, members, new NoMesh(), table, version -> {}, matcher -> {});
         membership =
                 new MembershipProtocol(
@@ -63,21 +63,21 @@
                         MembershipSettings.defaults(),
                         (address, message) -> {},
                         event -> {},
-                        configuration.gossip((peer, versions) -> {}, record -> false),
+                        configuration.createGossip((peer, versions) -> {}, record -> false),
                         new SplittableRandom(1),
                         0);
         OperatorService service =
                 new OperatorService(
-                        new ServiceCalls(
+                        new ServiceHandler(
                                 control, configuration, () -> CHANGED_AT_EPOCH_MILLISECONDS),
-                        new StatusCall(
+                        new StatusHandler(
                                 control,
                                 membership,
                                 configuration,
                                 LoadReport::getDefaultInstance,
                                 () -> table.read(new ServiceName("probe"))),
-                        new DrainCall(new NodeId("besuch-1"), members, () -> {}),
-                        new ExplainCall(FakeNode::explain));
+                        new DrainHandler(new NodeId("besuch-1"), members, () -> {}),
+                        new ExplainHandler(FakeNode::explain));
         server =
                 new OperatorServer(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
@@ -92,7 +92,7 @@
     }
 
     /** Hears a member that holds no configuration yet: the first message only introduces it. */
-    void hearNewMember(String node) {
+    void addMemberWithoutConfiguration(String node) {
         GossipMessage message =
                 GossipMessage.newBuilder()
                         .setSender(node)
@@ -141,8 +141,8 @@
                         DATA_CENTRE,
                         UpstreamState.SERVING,
                         10);
-        CandidateWeight weight =
-                new CandidateWeight(target, Distance.LOCAL, 2_500_000, 1.5, 1, true);
+        CandidateEstimate weight =
+                new CandidateEstimate(target, Distance.LOCAL, 2_500_000, 1.5, 1, true);
         return CompletableFuture.completedFuture(
                 Optional.of(
                         new RequestExplanation(
--- a/operator/src/test/java/org/damaskmoor/operator/OperatorProgramTest.java
+++ b/operator/src/test/java/org/damaskmoor/operator/OperatorCliTest.java
@@ -8,14 +8,14 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import java.util.stream.Stream;
-import org.damaskmoor.operator.internal.command.Session;
+import org.damaskmoor.operator.internal.command.CommandContext;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class OperatorProgramTest {
+class OperatorCliTest {
     private static final String BESUCH = "{\"name\": \"besuch\", \"hosts\": [\"besuch.example\"]}";
 
     private final FakeNode node = new FakeNode();
@@ -131,7 +131,7 @@
     void should_show_who_is_behind_when_a_node_was_heard_without_the_change() {
         // given
         run(BESUCH, "service", "apply", "--file", "-");
-        node.hearNewMember("besuch-2");
+        node.addMemberWithoutConfiguration("besuch-2");
 
         // when
         run("", "status");
@@ -203,12 +203,12 @@
     }
 
     private ExitCode run(String input, String... arguments) {
-        Session session =
-                new Session(
+        CommandContext session =
+                new CommandContext(
                         Map.of("DAMASKMOOR_OPERATOR_NODE", node.address()),
                         new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
                         new PrintStream(output, true, StandardCharsets.UTF_8),
                         new PrintStream(notes, true, StandardCharsets.UTF_8));
-        return new OperatorProgram(session).run(arguments);
+        return new OperatorCli(session).run(arguments);
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/Rehearsal.java
+++ b/relay/src/main/java/org/damaskmoor/relay/CdsTrainingRun.java
@@ -16,11 +16,11 @@
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.core.id.RegionName;
 import org.damaskmoor.core.id.ServiceName;
-import org.damaskmoor.platform.machines.CallPaths;
-import org.damaskmoor.platform.machines.ConfigurationDecoder;
+import org.damaskmoor.platform.protocol.ConfigurationDecoder;
+import org.damaskmoor.platform.protocol.EndpointPaths;
 import org.damaskmoor.relay.internal.RelayNode;
-import org.damaskmoor.relay.internal.log.BoundedEventLog;
-import org.damaskmoor.relay.internal.time.LoopTimers;
+import org.damaskmoor.relay.internal.log.RateLimitedEventLog;
+import org.damaskmoor.relay.internal.time.EventLoopTimers;
 
 /**
  * Starts a relay on loopback ports and sends it a few requests, so that the virtual machine can
@@ -29,20 +29,20 @@
  *
  * <p>Used by the build. Confined to one thread.
  */
-final class Rehearsal {
+final class CdsTrainingRun {
     private static final int SOCKET_TIMEOUT_MILLISECONDS = 2000;
     private static final int STORE_ATTEMPTS_MILLISECONDS = 500;
 
-    private Rehearsal() {}
+    private CdsTrainingRun() {}
 
     static void run() throws IOException, InterruptedException, ExecutionException {
         EventLoop loop = new NioEventLoopGroup(1).next();
-        LoopTimers timers = new LoopTimers(loop);
-        BoundedEventLog log = new BoundedEventLog(timers, System.out);
+        EventLoopTimers timers = new EventLoopTimers(loop);
+        RateLimitedEventLog log = new RateLimitedEventLog(timers, System.out);
         RelaySettings settings = settings();
         RelayNode node = new RelayNode(settings, loop, timers, log);
         loop.submit(node::start).get().join();
-        ask(settings.readiness(), "GET " + CallPaths.READY + " HTTP/1.1\r\nHost: a\r\n\r\n");
+        ask(settings.readiness(), "GET " + EndpointPaths.READY + " HTTP/1.1\r\nHost: a\r\n\r\n");
         ask(settings.callers(), "GET /a/ HTTP/1.1\r\nHost: a\r\nRequest-Id: 1\r\n\r\n");
         ask(settings.announcements(), "GET /a HTTP/1.1\r\nHost: a\r\n\r\n");
         loadDecoders();
--- a/relay/src/main/java/org/damaskmoor/relay/RelayMain.java
+++ b/relay/src/main/java/org/damaskmoor/relay/RelayMain.java
@@ -9,11 +9,11 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutionException;
 import org.damaskmoor.core.settings.SettingsException;
-import org.damaskmoor.platform.machines.SettingsPlace;
+import org.damaskmoor.platform.protocol.SettingsFileLocation;
 import org.damaskmoor.relay.internal.RelayNode;
-import org.damaskmoor.relay.internal.SettingsWatch;
-import org.damaskmoor.relay.internal.log.BoundedEventLog;
-import org.damaskmoor.relay.internal.time.LoopTimers;
+import org.damaskmoor.relay.internal.SettingsFileWatcher;
+import org.damaskmoor.relay.internal.log.RateLimitedEventLog;
+import org.damaskmoor.relay.internal.time.EventLoopTimers;
 
 /** The relay program. Runs until it is told to stop. */
 public final class RelayMain {
@@ -57,7 +57,7 @@
 
     private static int rehearse() {
         try {
-            Rehearsal.run();
+            CdsTrainingRun.run();
             return EXIT_PLANNED_STOP;
         } catch (IOException | ExecutionException | CompletionException failure) {
             System.err.println("The rehearsal failed: " + failure.getMessage());
@@ -75,15 +75,15 @@
             boolean option = arguments[first].startsWith("-");
             return option ? Optional.empty() : Optional.of(Path.of(arguments[first]));
         }
-        return SettingsPlace.of(System.getenv());
+        return SettingsFileLocation.fromEnvironment(System.getenv());
     }
 
     private static int run(RelaySettings settings, Path file) {
         EventLoop loop = new NioEventLoopGroup(1).next();
-        LoopTimers timers = new LoopTimers(loop);
-        BoundedEventLog log = new BoundedEventLog(timers, System.out);
+        EventLoopTimers timers = new EventLoopTimers(loop);
+        RateLimitedEventLog log = new RateLimitedEventLog(timers, System.out);
         RelayNode node = new RelayNode(settings, loop, timers, log);
-        SettingsWatch watch = new SettingsWatch(file, settings, timers, log);
+        SettingsFileWatcher watch = new SettingsFileWatcher(file, settings, timers, log);
         try {
             loop.submit(node::start).get().join();
         } catch (CompletionException | ExecutionException failure) {
@@ -100,7 +100,7 @@
     }
 
     /** A planned stop ends with 0, although a signal asked for it. */
-    private static void stop(EventLoop loop, RelayNode node, BoundedEventLog log) {
+    private static void stop(EventLoop loop, RelayNode node, RateLimitedEventLog log) {
         CountDownLatch stopped = new CountDownLatch(1);
         loop.execute(() -> node.stop().thenRun(stopped::countDown));
         try {
--- a/relay/src/main/java/org/damaskmoor/relay/internal/GracefulStop.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/GracefulStop.java
@@ -55,6 +55,6 @@
             ended.complete(null);
             return;
         }
-        timers.after(LOOK_MILLISECONDS, () -> look(refuseNew, idle, leaveAt, endAt, ended));
+        timers.schedule(LOOK_MILLISECONDS, () -> look(refuseNew, idle, leaveAt, endAt, ended));
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/LocalLink.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/LocalLink.java
@@ -1,9 +1,9 @@
 package org.damaskmoor.relay.internal;
 
 import org.damaskmoor.relay.internal.link.CallLink;
-import org.damaskmoor.relay.internal.link.CallOutcomes;
-import org.damaskmoor.relay.internal.link.EntryName;
-import org.damaskmoor.relay.internal.target.TargetDesk;
+import org.damaskmoor.relay.internal.link.CallOutcomeListener;
+import org.damaskmoor.relay.internal.link.EntryId;
+import org.damaskmoor.relay.internal.target.TargetCallHandler;
 import org.damaskmoor.relay.internal.time.Timers;
 import org.damaskmoor.schema.link.CallCancel;
 import org.damaskmoor.schema.link.CallSeal;
@@ -14,12 +14,12 @@
 
 /** The way from this node's entry to its own target. Confined to the event loop. */
 final class LocalLink implements CallLink {
-    private final EntryName self;
-    private final TargetDesk target;
-    private final CallOutcomes outcomes;
+    private final EntryId self;
+    private final TargetCallHandler target;
+    private final CallOutcomeListener outcomes;
     private final Timers timers;
 
-    LocalLink(EntryName self, TargetDesk target, CallOutcomes outcomes, Timers timers) {
+    LocalLink(EntryId self, TargetCallHandler target, CallOutcomeListener outcomes, Timers timers) {
         this.self = self;
         this.target = target;
         this.outcomes = outcomes;
@@ -43,17 +43,17 @@
 
     @Override
     public void send(ForwardedCall call) {
-        timers.soon(() -> target.call(self, call, outcomes));
+        timers.execute(() -> target.onCall(self, call, outcomes));
     }
 
     @Override
     public void send(CallSeal seal) {
-        timers.soon(() -> target.seal(self, seal, outcomes));
+        timers.execute(() -> target.onSeal(self, seal, outcomes));
     }
 
     @Override
     public void send(CallCancel cancel) {
-        timers.soon(() -> target.cancel(self, cancel));
+        timers.execute(() -> target.onCancel(self, cancel));
     }
 
     @Override
--- a/relay/src/main/java/org/damaskmoor/relay/internal/MemberRows.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/MemberTableListener.java
@@ -3,10 +3,10 @@
 import java.util.List;
 import java.util.Optional;
 import org.damaskmoor.core.id.NodeId;
-import org.damaskmoor.platform.machines.StoredRow;
+import org.damaskmoor.platform.protocol.StoredRow;
 import org.damaskmoor.relay.internal.fleet.FleetDirectory;
 import org.damaskmoor.relay.internal.fleet.FleetTarget;
-import org.damaskmoor.relay.internal.fleet.OwnRecord;
+import org.damaskmoor.relay.internal.fleet.OwnRecordPublisher;
 import org.damaskmoor.relay.internal.fleet.TableWatch;
 import org.damaskmoor.schema.link.FleetMember;
 import org.damaskmoor.schema.link.FleetNews;
@@ -17,13 +17,17 @@
  *
  * <p>Confined to the event loop. Invariant: only a reader tells others.
  */
-final class MemberRows implements TableWatch.Listener {
+final class MemberTableListener implements TableWatch.Listener {
     private final NodeId self;
     private final FleetDirectory fleet;
-    private final OwnRecord ownRecord;
-    private final StoreReading reading;
+    private final OwnRecordPublisher ownRecord;
+    private final StoreReaderCoordinator reading;
 
-    MemberRows(NodeId self, FleetDirectory fleet, OwnRecord ownRecord, StoreReading reading) {
+    MemberTableListener(
+            NodeId self,
+            FleetDirectory fleet,
+            OwnRecordPublisher ownRecord,
+            StoreReaderCoordinator reading) {
         this.self = self;
         this.fleet = fleet;
         this.ownRecord = ownRecord;
@@ -35,19 +39,19 @@
         fleet.onSnapshot(rows);
         Optional<StoredRow> own =
                 rows.stream().filter(row -> row.key().equals(self.value())).findFirst();
-        own.ifPresentOrElse(ownRecord::onStored, ownRecord::onNotStored);
+        own.ifPresentOrElse(ownRecord::onRow, ownRecord::onRowAbsent);
     }
 
     @Override
     public void onChange(StoredRow row) {
         fleet.onChange(row);
         if (row.key().equals(self.value())) {
-            ownRecord.onStored(row);
+            ownRecord.onRow(row);
         }
         if (!row.key().isEmpty()) {
             changed(row)
                     .map(member -> FleetNews.newBuilder().addMembers(member).build())
-                    .ifPresent(reading::tell);
+                    .ifPresent(reading::sendToDataCentre);
         }
     }
 
--- a/relay/src/main/java/org/damaskmoor/relay/internal/NodeCallReceiver.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/NodeIncomingLinkHandler.java
@@ -3,10 +3,10 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.Supplier;
-import org.damaskmoor.relay.internal.link.CallOutcomes;
-import org.damaskmoor.relay.internal.link.CallReceiver;
-import org.damaskmoor.relay.internal.link.EntryName;
-import org.damaskmoor.relay.internal.target.TargetDesk;
+import org.damaskmoor.relay.internal.link.CallOutcomeListener;
+import org.damaskmoor.relay.internal.link.EntryId;
+import org.damaskmoor.relay.internal.link.IncomingLinkHandler;
+import org.damaskmoor.relay.internal.target.TargetCallHandler;
 import org.damaskmoor.schema.link.CallCancel;
 import org.damaskmoor.schema.link.CallSeal;
 import org.damaskmoor.schema.link.FleetNews;
@@ -16,15 +16,15 @@
 import org.damaskmoor.schema.link.ReaderSign;
 
 /** Leads what entries send to the target and the directory. Confined to the event loop. */
-final class NodeCallReceiver implements CallReceiver {
-    private final TargetDesk target;
+final class NodeIncomingLinkHandler implements IncomingLinkHandler {
+    private final TargetCallHandler target;
     private final Supplier<LinkHello> greeting;
     private final Function<FleetRequest, FleetNews> answerNews;
     private final Consumer<FleetNews> news;
     private final Consumer<ReaderSign> signs;
 
-    NodeCallReceiver(
-            TargetDesk target,
+    NodeIncomingLinkHandler(
+            TargetCallHandler target,
             Supplier<LinkHello> greeting,
             Function<FleetRequest, FleetNews> answerNews,
             Consumer<FleetNews> news,
@@ -37,42 +37,42 @@
     }
 
     @Override
-    public LinkHello greeting(EntryName entry, CallOutcomes outcomes) {
+    public LinkHello createHello(EntryId entry, CallOutcomeListener outcomes) {
         return greeting.get();
     }
 
     @Override
-    public void call(EntryName entry, ForwardedCall call, CallOutcomes outcomes) {
-        target.call(entry, call, outcomes);
+    public void onCall(EntryId entry, ForwardedCall call, CallOutcomeListener outcomes) {
+        target.onCall(entry, call, outcomes);
     }
 
     @Override
-    public void seal(EntryName entry, CallSeal seal, CallOutcomes outcomes) {
-        target.seal(entry, seal, outcomes);
+    public void onSeal(EntryId entry, CallSeal seal, CallOutcomeListener outcomes) {
+        target.onSeal(entry, seal, outcomes);
     }
 
     @Override
-    public void cancel(EntryName entry, CallCancel cancel) {
-        target.cancel(entry, cancel);
+    public void onCancel(EntryId entry, CallCancel cancel) {
+        target.onCancel(entry, cancel);
     }
 
     @Override
-    public void ended(EntryName entry, CallOutcomes outcomes) {
-        target.ended(outcomes);
+    public void onLinkClosed(EntryId entry, CallOutcomeListener outcomes) {
+        target.onLinkClosed(outcomes);
     }
 
     @Override
-    public FleetNews news(FleetRequest request) {
+    public FleetNews createFleetNews(FleetRequest request) {
         return answerNews.apply(request);
     }
 
     @Override
-    public void onNews(FleetNews told) {
+    public void onFleetNews(FleetNews told) {
         news.accept(told);
     }
 
     @Override
-    public void onSign(ReaderSign sign) {
+    public void onReaderSign(ReaderSign sign) {
         signs.accept(sign);
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/NodeLinkListener.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/NodeLinkListener.java
@@ -4,9 +4,9 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import org.damaskmoor.core.id.NodeId;
-import org.damaskmoor.relay.internal.entry.EntryDesk;
+import org.damaskmoor.relay.internal.entry.EntryRequestHandler;
 import org.damaskmoor.relay.internal.fleet.FleetDirectory;
-import org.damaskmoor.relay.internal.link.CallOutcomes;
+import org.damaskmoor.relay.internal.link.CallOutcomeListener;
 import org.damaskmoor.relay.internal.link.LinkListener;
 import org.damaskmoor.schema.link.FleetNews;
 import org.damaskmoor.schema.link.ForwardedCall;
@@ -14,42 +14,44 @@
 
 /** Leads what links to targets tell to the entry and the directory. Confined to the event loop. */
 final class NodeLinkListener implements LinkListener {
-    private final Supplier<EntryDesk> entry;
+    private final Supplier<EntryRequestHandler> entry;
     private final Supplier<FleetDirectory> fleet;
     private final Consumer<FleetNews> news;
 
     NodeLinkListener(
-            Supplier<EntryDesk> entry, Supplier<FleetDirectory> fleet, Consumer<FleetNews> news) {
+            Supplier<EntryRequestHandler> entry,
+            Supplier<FleetDirectory> fleet,
+            Consumer<FleetNews> news) {
         this.entry = entry;
         this.fleet = fleet;
         this.news = news;
     }
 
     @Override
-    public CallOutcomes outcomes(NodeId target) {
-        return entry.get().outcomes(target);
+    public CallOutcomeListener outcomeListener(NodeId target) {
+        return entry.get().outcomeListener(target);
     }
 
     @Override
-    public void greeted(NodeId target, LinkHello hello) {
-        fleet.get().greeted(target, hello);
+    public void onHello(NodeId target, LinkHello hello) {
+        fleet.get().onHello(target, hello);
         if (hello.hasMember()) {
             news.accept(FleetNews.newBuilder().addMembers(hello.getMember()).build());
         }
     }
 
     @Override
-    public void unsent(NodeId target, List<ForwardedCall> calls) {
-        entry.get().unsent(calls);
+    public void onUnsent(NodeId target, List<ForwardedCall> calls) {
+        entry.get().onUnsent(calls);
     }
 
     @Override
-    public void lost(NodeId target) {
-        entry.get().lost(target);
+    public void onLinkLost(NodeId target) {
+        entry.get().onLinkLost(target);
     }
 
     @Override
-    public void news(FleetNews told) {
+    public void onFleetNews(FleetNews told) {
         news.accept(told);
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/NodePorts.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/NodePorts.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import org.damaskmoor.relay.internal.caller.CallerServer;
-import org.damaskmoor.relay.internal.control.SmallHttpServer;
+import org.damaskmoor.relay.internal.control.ControlHttpServer;
 import org.damaskmoor.relay.internal.link.LinkServer;
 
 /**
@@ -16,11 +16,11 @@
  * @param metrics for counters, or empty
  */
 record NodePorts(
-        SmallHttpServer announcements,
+        ControlHttpServer announcements,
         LinkServer links,
-        SmallHttpServer readiness,
+        ControlHttpServer readiness,
         CallerServer callers,
-        Optional<SmallHttpServer> metrics) {
+        Optional<ControlHttpServer> metrics) {
 
     /** Opens all of them, the one for callers last. */
     CompletableFuture<Void> start() {
@@ -33,7 +33,7 @@
     }
 
     private CompletableFuture<Void> startMetrics() {
-        return metrics.map(SmallHttpServer::start)
+        return metrics.map(ControlHttpServer::start)
                 .orElseGet(() -> CompletableFuture.completedFuture(null));
     }
 
@@ -43,6 +43,6 @@
         links.stop();
         readiness.stop();
         announcements.stop();
-        metrics.ifPresent(SmallHttpServer::stop);
+        metrics.ifPresent(ControlHttpServer::stop);
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/CrashBoard.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/NodeQuarantine.java
@@ -9,12 +9,12 @@
 import org.damaskmoor.core.quarantine.CrashRecord;
 import org.damaskmoor.core.quarantine.Quarantine;
 import org.damaskmoor.core.quarantine.RequestFingerprint;
-import org.damaskmoor.relay.internal.entry.CrashedRequests;
+import org.damaskmoor.relay.internal.entry.QuarantinedRequests;
 import org.damaskmoor.relay.internal.time.Timers;
 import org.damaskmoor.schema.gossip.QuarantineRecord;
 
 /** The crashes of upstreams that this node knows of. Confined to the event loop. */
-final class CrashBoard implements CrashedRequests {
+final class NodeQuarantine implements QuarantinedRequests {
     private final NodeId self;
     private final Incarnation incarnation;
     private final Timers timers;
@@ -22,14 +22,14 @@
     private boolean any;
     private long crashes;
 
-    CrashBoard(NodeId self, Incarnation incarnation, Timers timers) {
+    NodeQuarantine(NodeId self, Incarnation incarnation, Timers timers) {
         this.self = self;
         this.incarnation = incarnation;
         this.timers = timers;
     }
 
     /** The own upstream crashed; returns what peers are to be told. */
-    List<QuarantineRecord> crashed(Collection<RequestFingerprint> running) {
+    List<QuarantineRecord> onUpstreamCrashed(Collection<RequestFingerprint> running) {
         if (running.isEmpty()) {
             return List.of();
         }
@@ -62,18 +62,18 @@
         return records;
     }
 
-    void answered(RequestFingerprint request) {
+    void onAnswered(RequestFingerprint request) {
         quarantine.onAnswered(request, now());
     }
 
     @Override
-    public boolean isAny() {
+    public boolean hasAny() {
         return any;
     }
 
     @Override
-    public boolean holds(RequestFingerprint request) {
-        return any && quarantine.holds(request, now());
+    public boolean contains(RequestFingerprint request) {
+        return any && quarantine.isQuarantined(request, now());
     }
 
     private static long nanoseconds(long milliseconds) {
--- a/relay/src/main/java/org/damaskmoor/relay/internal/NodeTargetEvents.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/NodeTargetCallbacks.java
@@ -6,22 +6,22 @@
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 import org.damaskmoor.core.quarantine.RequestFingerprint;
-import org.damaskmoor.relay.internal.target.TargetEvents;
+import org.damaskmoor.relay.internal.target.TargetCallbacks;
 import org.damaskmoor.schema.gossip.QuarantineRecord;
 
 /** Leads what the target tells to the parts of its node. Confined to the event loop. */
-final class NodeTargetEvents implements TargetEvents {
+final class NodeTargetCallbacks implements TargetCallbacks {
     private final Runnable upstreamChanged;
     private final Supplier<String> healthPath;
     private final LongSupplier lastFailure;
-    private final CrashBoard crashes;
+    private final NodeQuarantine crashes;
     private final Consumer<List<QuarantineRecord>> tell;
 
-    NodeTargetEvents(
+    NodeTargetCallbacks(
             Runnable upstreamChanged,
             Supplier<String> healthPath,
             LongSupplier lastFailure,
-            CrashBoard crashes,
+            NodeQuarantine crashes,
             Consumer<List<QuarantineRecord>> tell) {
         this.upstreamChanged = upstreamChanged;
         this.healthPath = healthPath;
@@ -31,7 +31,7 @@
     }
 
     @Override
-    public void upstreamChanged() {
+    public void onUpstreamChanged() {
         upstreamChanged.run();
     }
 
@@ -46,17 +46,17 @@
     }
 
     @Override
-    public void crashed(Collection<RequestFingerprint> running) {
-        tell.accept(crashes.crashed(running));
+    public void onUpstreamCrashed(Collection<RequestFingerprint> running) {
+        tell.accept(crashes.onUpstreamCrashed(running));
     }
 
     @Override
-    public void answered(RequestFingerprint request) {
-        crashes.answered(request);
+    public void onAnswered(RequestFingerprint request) {
+        crashes.onAnswered(request);
     }
 
     @Override
     public boolean isQuarantined(RequestFingerprint request) {
-        return crashes.holds(request);
+        return crashes.contains(request);
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/OwnMember.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/OwnRecordFactory.java
@@ -6,23 +6,23 @@
 import org.damaskmoor.schema.link.FleetMember;
 
 /** Makes this node's own record; each has a greater revision. Confined to the event loop. */
-final class OwnMember {
+final class OwnRecordFactory {
     private final RelaySettings settings;
     private final Incarnation incarnation;
     private long revision;
 
-    OwnMember(RelaySettings settings, Incarnation incarnation) {
+    OwnRecordFactory(RelaySettings settings, Incarnation incarnation) {
         this.settings = settings;
         this.incarnation = incarnation;
     }
 
-    FleetMember record(String service, int slots) {
+    FleetMember create(String service, int slots) {
         revision++;
         return FleetMember.newBuilder()
                 .setNodeId(settings.node().value())
                 .setIncarnation(incarnation.value())
                 .setRevision(revision)
-                .setAddress(Addresses.text(settings.advertisedLinks()))
+                .setAddress(Addresses.format(settings.advertisedLinks()))
                 .setDataCentre(settings.dataCentre().value())
                 .setRegion(settings.region().value())
                 .setService(service)
--- a/relay/src/main/java/org/damaskmoor/relay/internal/PeerNews.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/PeerSync.java
@@ -19,7 +19,7 @@
  *
  * <p>Confined to the event loop. Invariant: nothing is asked while the store answers.
  */
-final class PeerNews {
+final class PeerSync {
     /** How often peers are asked: a change is to be in force within a second or two. */
     private static final long PERIOD_MILLISECONDS = 600;
 
@@ -28,16 +28,16 @@
 
     private final FleetDirectory fleet;
     private final ConfigurationHolder configuration;
-    private final CrashBoard crashes;
+    private final NodeQuarantine crashes;
     private final BooleanSupplier storeLost;
     private final Timers timers;
     private final RandomGenerator random;
     private final List<CallLink> seeds = new ArrayList<>();
 
-    PeerNews(
+    PeerSync(
             FleetDirectory fleet,
             ConfigurationHolder configuration,
-            CrashBoard crashes,
+            NodeQuarantine crashes,
             BooleanSupplier storeLost,
             Timers timers,
             RandomGenerator random) {
@@ -70,7 +70,7 @@
                 links.remove(random.nextInt(links.size())).send(request);
             }
         }
-        timers.after(PERIOD_MILLISECONDS, this::ask);
+        timers.schedule(PERIOD_MILLISECONDS, this::ask);
     }
 
     private List<CallLink> reachable() {
@@ -90,7 +90,7 @@
     }
 
     /** What this node knows, for a peer that asks. */
-    FleetNews news(FleetRequest request) {
+    FleetNews createFleetNews(FleetRequest request) {
         FleetNews.Builder news = FleetNews.newBuilder();
         if (configuration.version() > request.getConfigurationVersion()) {
             news.setConfiguration(configuration.text());
