--- a/relay/src/main/java/org/damaskmoor/relay/internal/RelayNode.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/RelayNode.java
@@ -6,39 +6,39 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
 import java.util.random.RandomGenerator;
+import org.damaskmoor.core.atmostonce.LedgerLimits;
+import org.damaskmoor.core.atmostonce.TargetLedger;
 import org.damaskmoor.core.id.Incarnation;
 import org.damaskmoor.core.id.NodeId;
-import org.damaskmoor.core.once.LedgerLimits;
-import org.damaskmoor.core.once.TargetLedger;
+import org.damaskmoor.core.placement.RouteStatistics;
 import org.damaskmoor.core.placement.TargetChooser;
-import org.damaskmoor.core.placement.UsualWork;
-import org.damaskmoor.core.routes.CallerLimits;
-import org.damaskmoor.core.routes.RouteTable;
-import org.damaskmoor.core.routes.ServiceEntry;
+import org.damaskmoor.core.routetable.CallerLimits;
+import org.damaskmoor.core.routetable.RouteTable;
+import org.damaskmoor.core.routetable.ServiceDefinition;
 import org.damaskmoor.core.upstream.UpstreamAnnouncement;
-import org.damaskmoor.core.upstream.UpstreamRegister;
-import org.damaskmoor.platform.machines.CallPaths;
-import org.damaskmoor.platform.machines.ConfigurationDecoder;
-import org.damaskmoor.platform.machines.HttpRowStore;
-import org.damaskmoor.platform.machines.RowStore;
+import org.damaskmoor.core.upstream.UpstreamTracker;
+import org.damaskmoor.platform.protocol.ConfigurationDecoder;
+import org.damaskmoor.platform.protocol.EndpointPaths;
+import org.damaskmoor.platform.protocol.HttpRowStore;
+import org.damaskmoor.platform.protocol.RowStore;
 import org.damaskmoor.relay.RelaySettings;
 import org.damaskmoor.relay.internal.caller.CallerServer;
-import org.damaskmoor.relay.internal.control.AnnouncementPort;
-import org.damaskmoor.relay.internal.control.SmallHttpServer;
-import org.damaskmoor.relay.internal.control.SmallHttpServer.Answer;
+import org.damaskmoor.relay.internal.control.AnnouncementEndpoint;
+import org.damaskmoor.relay.internal.control.ControlHttpServer;
+import org.damaskmoor.relay.internal.control.ControlHttpServer.Answer;
 import org.damaskmoor.relay.internal.entry.EntryContext;
-import org.damaskmoor.relay.internal.entry.EntryDesk;
+import org.damaskmoor.relay.internal.entry.EntryRequestHandler;
 import org.damaskmoor.relay.internal.entry.RetryBudgets;
 import org.damaskmoor.relay.internal.fleet.ConfigurationHolder;
 import org.damaskmoor.relay.internal.fleet.FleetDirectory;
-import org.damaskmoor.relay.internal.fleet.OwnRecord;
+import org.damaskmoor.relay.internal.fleet.OwnRecordPublisher;
 import org.damaskmoor.relay.internal.fleet.TableWatch;
-import org.damaskmoor.relay.internal.link.EntryName;
+import org.damaskmoor.relay.internal.link.EntryId;
 import org.damaskmoor.relay.internal.link.LinkDialer;
 import org.damaskmoor.relay.internal.link.LinkServer;
 import org.damaskmoor.relay.internal.log.EventLog;
 import org.damaskmoor.relay.internal.metrics.RelayMetrics;
-import org.damaskmoor.relay.internal.target.TargetDesk;
+import org.damaskmoor.relay.internal.target.TargetCallHandler;
 import org.damaskmoor.relay.internal.time.Timers;
 import org.damaskmoor.schema.gossip.QuarantineRecord;
 import org.damaskmoor.schema.link.FleetNews;
@@ -73,19 +73,19 @@
     private final RelayMetrics metrics = new RelayMetrics();
     private final Incarnation incarnation = new Incarnation(System.currentTimeMillis());
     private final NodeId self;
-    private final CrashBoard crashes;
-    private final TargetDesk target;
+    private final NodeQuarantine crashes;
+    private final TargetCallHandler target;
     private final FleetDirectory fleet;
-    private final EntryDesk entry;
+    private final EntryRequestHandler entry;
     private final ConfigurationHolder configuration;
-    private final OwnRecord ownRecord;
+    private final OwnRecordPublisher ownRecord;
     private final TableWatch memberWatch;
     private final TableWatch configurationWatch;
-    private final StoreReading reading;
-    private final PeerNews peerNews;
+    private final StoreReaderCoordinator reading;
+    private final PeerSync peerNews;
     private final LinkDialer dialer;
     private final NodePorts ports;
-    private final OwnMember ownMember;
+    private final OwnRecordFactory ownMember;
     private final GracefulStop stop;
 
     /** Creates a relay that is not started. */
@@ -94,17 +94,17 @@
         this.timers = timers;
         this.log = log;
         this.self = settings.node();
-        this.crashes = new CrashBoard(self, incarnation, timers);
-        this.ownMember = new OwnMember(settings, incarnation);
+        this.crashes = new NodeQuarantine(self, incarnation, timers);
+        this.ownMember = new OwnRecordFactory(settings, incarnation);
         this.target = targetDesk(loop);
         this.dialer = new LinkDialer(loop, timers, self, incarnation, this::configurationVersion);
         this.fleet = directory();
         this.entry = entryDesk();
         this.configuration = new ConfigurationHolder(log, this::onConfiguration);
         RowStore store = new HttpRowStore(loop, settings.store());
-        this.ownRecord = new OwnRecord(self, store, timers, random, log);
+        this.ownRecord = new OwnRecordPublisher(self, store, timers, random, log);
         this.reading =
-                new StoreReading(
+                new StoreReaderCoordinator(
                         self,
                         fleet,
                         configuration,
@@ -115,7 +115,7 @@
                         timers,
                         random,
                         log);
-        MemberRows members = new MemberRows(self, fleet, ownRecord, reading);
+        MemberTableListener members = new MemberTableListener(self, fleet, ownRecord, reading);
         this.memberWatch =
                 tableWatch(FleetDirectory.TABLE, store, members, reading.memberPace(), () -> {});
         this.configurationWatch =
@@ -126,7 +126,7 @@
                         reading.configurationPace(),
                         this::onStoreRegained);
         this.peerNews =
-                new PeerNews(fleet, configuration, crashes, this::isStoreLost, timers, random);
+                new PeerSync(fleet, configuration, crashes, this::isStoreLost, timers, random);
         this.ports = ports(loop);
         this.stop = new GracefulStop(timers, settings.stopMilliseconds());
         metrics.gauge("open-requests", entry::openRequests);
@@ -144,30 +144,30 @@
     }
 
     private void askStoreNow() {
-        configurationWatch.askNow();
-        memberWatch.askNow();
+        configurationWatch.pollNow();
+        memberWatch.pollNow();
     }
 
     /** Another node has a change that the store, which is asked for it, has not told this one. */
     private void suspectStore() {
         if (configurationWatch.isWaiting()) {
-            configurationWatch.askAnew();
-            memberWatch.askAnew();
+            configurationWatch.rereadTable();
+            memberWatch.rereadTable();
         }
     }
 
     private void onStoreRegained() {
-        memberWatch.askNow();
+        memberWatch.pollNow();
     }
 
     private boolean isConfigurationLost() {
         return configurationWatch.isLost();
     }
 
-    private TargetDesk targetDesk(EventLoop loop) {
-        return new TargetDesk(
+    private TargetCallHandler targetDesk(EventLoop loop) {
+        return new TargetCallHandler(
                 incarnation,
-                new UpstreamRegister(settings.drainMilliseconds()),
+                new UpstreamTracker(settings.drainMilliseconds()),
                 TargetLedger.bounded(
                         incarnation,
                         new LedgerLimits(LEDGER_ENTRIES, LEDGER_ANSWER_BYTES, LEDGER_FENCES)),
@@ -175,7 +175,7 @@
                 settings.upstream(),
                 timers,
                 log,
-                new NodeTargetEvents(
+                new NodeTargetCallbacks(
                         this::onUpstreamChanged,
                         this::healthPath,
                         () -> entry().lastFailureAt(),
@@ -195,13 +195,13 @@
                 log);
     }
 
-    private EntryDesk entryDesk() {
+    private EntryRequestHandler entryDesk() {
         EntryContext context =
                 new EntryContext(
                         settings.service(),
                         fleet,
                         new TargetChooser(random),
-                        new UsualWork(),
+                        new RouteStatistics(),
                         new RetryBudgets(
                                 settings.retryRatio(),
                                 settings.retrySlack(),
@@ -210,13 +210,17 @@
                         random,
                         log,
                         metrics);
-        return new EntryDesk(self, incarnation, context, crashes);
+        return new EntryRequestHandler(self, incarnation, context, crashes);
     }
 
     private NodePorts ports(EventLoop loop) {
-        NodeCallReceiver receiver =
-                new NodeCallReceiver(
-                        target, this::greeting, peerNews::news, this::merge, reading::onSign);
+        NodeIncomingLinkHandler receiver =
+                new NodeIncomingLinkHandler(
+                        target,
+                        this::greeting,
+                        peerNews::createFleetNews,
+                        this::merge,
+                        reading::onReaderSign);
         CallerServer callers =
                 new CallerServer(
                         loop,
@@ -226,25 +230,28 @@
                         entry,
                         status -> metrics.count("malformed", Integer.toString(status)));
         return new NodePorts(
-                new SmallHttpServer(
-                        loop, settings.announcements(), new AnnouncementPort(target, log)),
+                new ControlHttpServer(
+                        loop, settings.announcements(), new AnnouncementEndpoint(target, log)),
                 new LinkServer(loop, settings.links(), receiver),
-                new SmallHttpServer(
+                new ControlHttpServer(
                         loop, settings.readiness(), (method, path, body) -> readiness(path)),
                 callers,
                 settings.metrics().map(address -> metricsPort(loop, address)));
     }
 
-    private SmallHttpServer metricsPort(EventLoop loop, InetSocketAddress address) {
-        return new SmallHttpServer(loop, address, (method, path, body) -> metrics(path));
+    private ControlHttpServer metricsPort(EventLoop loop, InetSocketAddress address) {
+        return new ControlHttpServer(loop, address, (method, path, body) -> metrics(path));
     }
 
     /** Opens all ports and begins to read the store; completes when the ports are open. */
     public CompletableFuture<Void> start() {
         LocalLink local =
                 new LocalLink(
-                        new EntryName(self, incarnation), target, entry.outcomes(self), timers);
-        fleet.addSelf(ownMember.record(settings.service().value(), 0), local);
+                        new EntryId(self, incarnation),
+                        target,
+                        entry.outcomeListener(self),
+                        timers);
+        fleet.addSelf(ownMember.create(settings.service().value(), 0), local);
         return ports.start().thenRun(this::begin);
     }
 
@@ -255,8 +262,8 @@
         peerNews.start(
                 settings.seeds(),
                 settings.links().getPort(),
-                address -> dialer.newsLink(address, new NewsLinkListener(this::merge)));
-        timers.after(TICK_MILLISECONDS, this::tick);
+                address -> dialer.seedLink(address, new SeedLinkListener(this::merge)));
+        timers.schedule(TICK_MILLISECONDS, this::tick);
         log.event("node-started")
                 .with("node", self)
                 .with("incarnation", incarnation)
@@ -266,22 +273,22 @@
     }
 
     private void tick() {
-        target.tick();
-        timers.after(TICK_MILLISECONDS, this::tick);
+        target.expireLedger();
+        timers.schedule(TICK_MILLISECONDS, this::tick);
     }
 
     /** A planned stop: takes no new work, ends what was begun, and closes. */
     public CompletableFuture<Void> stop() {
         log.event("node-stopping").with("node", self).with("open", entry.openRequests()).write();
-        target.stop();
-        ports.callers().announceClose();
-        boolean upstreamGone = target.register().isLeaving();
+        target.stopAccepting();
+        ports.callers().closeAfterReplies();
+        boolean upstreamGone = target.upstreamTracker().isLeaving();
         CompletableFuture<Void> left =
-                upstreamGone ? ownRecord.leave() : CompletableFuture.completedFuture(null);
+                upstreamGone ? ownRecord.remove() : CompletableFuture.completedFuture(null);
         return stop.run(
-                        entry::refuseNew,
+                        entry::rejectNewRequests,
                         () -> left.isDone() && ports.callers().isIdle() && target.isIdle())
-                .thenRun(entry::endAll)
+                .thenRun(entry::finishAll)
                 .thenCompose(done -> laterReplies())
                 .thenRun(this::close);
     }
@@ -289,7 +296,7 @@
     /** Completes when the replies that were just given have been written. */
     private CompletableFuture<Void> laterReplies() {
         CompletableFuture<Void> written = new CompletableFuture<>();
-        timers.after(LAST_REPLIES_MILLISECONDS, () -> written.complete(null));
+        timers.schedule(LAST_REPLIES_MILLISECONDS, () -> written.complete(null));
         return written;
     }
 
@@ -301,7 +308,7 @@
     }
 
     private Answer readiness(String path) {
-        if (!path.equals(CallPaths.READY)) {
+        if (!path.equals(EndpointPaths.READY)) {
             return Answer.nothingHere();
         }
         boolean ready = configuration.table().isPresent() && !stop.isRunning();
@@ -309,24 +316,24 @@
     }
 
     private Answer metrics(String path) {
-        return path.equals(METRICS_PATH) ? Answer.text(OK, metrics.text()) : Answer.nothingHere();
+        return path.equals(METRICS_PATH) ? Answer.text(OK, metrics.render()) : Answer.nothingHere();
     }
 
     private void onConfiguration(RouteTable table) {
-        entry.configure(table);
+        entry.applyRoutes(table);
         reading.onConfiguration();
     }
 
     private void onUpstreamChanged() {
         TargetLoad load = target.load();
         ports.links().broadcast(load);
-        fleet.find(self).ifPresent(own -> own.hear(load, timers.now()));
-        target.register().current().ifPresent(this::record);
+        fleet.find(self).ifPresent(own -> own.updateLoad(load, timers.now()));
+        target.upstreamTracker().current().ifPresent(this::record);
     }
 
     private void record(UpstreamAnnouncement upstream) {
-        if (!target.register().isLeaving()) {
-            ownRecord.want(ownMember.record(upstream.service().value(), upstream.slots()));
+        if (!target.upstreamTracker().isLeaving()) {
+            ownRecord.publish(ownMember.create(upstream.service().value(), upstream.slots()));
         }
     }
 
@@ -342,7 +349,7 @@
     }
 
     private void merge(FleetNews news) {
-        configuration.offer(news.getConfiguration(), "peer");
+        configuration.applyIfNewer(news.getConfiguration(), "peer");
         fleet.merge(news.getMembersList());
         tellCrashes(crashes.merge(news.getCrashesList()));
     }
@@ -360,7 +367,7 @@
         return configurationWatch.isLost()
                 || memberWatch.isLost()
                 || configuration.table().isEmpty()
-                || !fleet.snapshotSeen();
+                || !fleet.hasSnapshot();
     }
 
     private CallerLimits callerLimits() {
@@ -368,12 +375,12 @@
     }
 
     private String healthPath() {
-        return target.register()
+        return target.upstreamTracker()
                 .current()
                 .flatMap(
                         upstream ->
                                 configuration.table().flatMap(t -> t.service(upstream.service())))
-                .map(ServiceEntry::healthPath)
+                .map(ServiceDefinition::healthPath)
                 .orElse("");
     }
 
@@ -381,7 +388,7 @@
         return configuration.version();
     }
 
-    private EntryDesk entry() {
+    private EntryRequestHandler entry() {
         return entry;
     }
 
--- a/relay/src/main/java/org/damaskmoor/relay/internal/SettingsWatch.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/SettingsFileWatcher.java
@@ -18,7 +18,7 @@
  *
  * <p>Confined to the event loop, but for {@link #reload}, which any thread may call.
  */
-public final class SettingsWatch {
+public final class SettingsFileWatcher {
     private static final long LOOK_MILLISECONDS = 2000;
 
     private final Path file;
@@ -27,7 +27,7 @@
     private RelaySettings inForce;
     private FileTime changedAt;
 
-    public SettingsWatch(Path file, RelaySettings inForce, Timers timers, EventLog log) {
+    public SettingsFileWatcher(Path file, RelaySettings inForce, Timers timers, EventLog log) {
         this.file = file;
         this.inForce = inForce;
         this.timers = timers;
@@ -38,12 +38,12 @@
     public void start() {
         HangUpSignal.handle(this::reload);
         changedAt = lastChange();
-        timers.after(LOOK_MILLISECONDS, this::look);
+        timers.schedule(LOOK_MILLISECONDS, this::look);
     }
 
     /** Reads the file again. */
     public void reload() {
-        timers.soon(this::read);
+        timers.execute(this::read);
     }
 
     private void look() {
@@ -52,7 +52,7 @@
             changedAt = now;
             read();
         }
-        timers.after(LOOK_MILLISECONDS, this::look);
+        timers.schedule(LOOK_MILLISECONDS, this::look);
     }
 
     private FileTime lastChange() {
--- a/relay/src/main/java/org/damaskmoor/relay/internal/StoreReading.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/StoreReaderCoordinator.java
@@ -9,9 +9,9 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Predicate;
 import java.util.random.RandomGenerator;
+import org.damaskmoor.core.election.ReaderElection;
 import org.damaskmoor.core.hash.StableHash;
 import org.damaskmoor.core.id.NodeId;
-import org.damaskmoor.core.readers.ReaderElection;
 import org.damaskmoor.relay.internal.fleet.ConfigurationHolder;
 import org.damaskmoor.relay.internal.fleet.FleetDirectory;
 import org.damaskmoor.relay.internal.fleet.FleetTarget;
@@ -30,7 +30,7 @@
  * <p>Confined to the event loop. Invariant: a node that hears of no reader waits for changes at the
  * store by itself.
  */
-final class StoreReading {
+final class StoreReaderCoordinator {
     /** Changes of the configuration within this time cost one call to the store. */
     private static final long CONFIGURATION_REST_MILLISECONDS = 600;
 
@@ -82,7 +82,7 @@
     private boolean informed;
     private boolean reader;
 
-    StoreReading(
+    StoreReaderCoordinator(
             NodeId self,
             FleetDirectory fleet,
             ConfigurationHolder configuration,
@@ -118,21 +118,21 @@
             sendSigns(fleet::isInRegion);
         }
         noteInformed();
-        timers.after(ReaderElection.PERIOD_MILLISECONDS, this::start);
+        timers.schedule(ReaderElection.PERIOD_MILLISECONDS, this::start);
     }
 
     /** A reader sent a sign. */
-    void onSign(ReaderSign sign) {
+    void onReaderSign(ReaderSign sign) {
         if (sign.getNodeId().isEmpty()) {
             return;
         }
         NodeId sender = new NodeId(sign.getNodeId());
         if (fleet.find(sender).map(fleet::isInRegion).orElse(true)) {
-            election.heard(sender, sign.getStoreAnswers(), timers.now());
+            election.onHeartbeat(sender, sign.getStoreAnswers(), timers.now());
             noteInformed();
         }
         if (sign.getConfigurationVersion() > configuration.version()) {
-            timers.after(OWN_NEWS_MILLISECONDS, () -> askForConfiguration(sender, sign));
+            timers.schedule(OWN_NEWS_MILLISECONDS, () -> askForConfiguration(sender, sign));
         }
     }
 
@@ -147,11 +147,11 @@
     private void tellAll() {
         FleetNews.Builder news = FleetNews.newBuilder();
         fleet.all().forEach(target -> news.addMembers(target.member()));
-        tell(news.build());
+        sendToDataCentre(news.build());
     }
 
     /** Tells the data centre, if this node reads for it. */
-    void tell(FleetNews news) {
+    void sendToDataCentre(FleetNews news) {
         if (isReader()) {
             fleet.inDataCentre().forEach(target -> target.link().send(news));
         }
@@ -192,7 +192,7 @@
     }
 
     private boolean isInformed() {
-        return !reader && election.isInformed(timers.now());
+        return !reader && election.hasHealthyReader(timers.now());
     }
 
     private long informedRest() {
@@ -205,7 +205,7 @@
     }
 
     private boolean isReader() {
-        if (!fleet.snapshotSeen()) {
+        if (!fleet.hasSnapshot()) {
             return false;
         }
         List<NodeId> dataCentre = new ArrayList<>();
@@ -215,14 +215,14 @@
 
     private void noteInformed() {
         boolean former = informed;
-        informed = election.isInformed(timers.now());
+        informed = election.hasHealthyReader(timers.now());
         if (former != informed) {
             log.event("store-informed").with("by_reader", informed).write();
         }
         if (former && !informed) {
             askStoreNow.run();
         } else if (!former && informed && storeLost.getAsBoolean()) {
-            timers.after(random.nextLong(RETURN_SPREAD_MILLISECONDS), askStoreNow);
+            timers.schedule(random.nextLong(RETURN_SPREAD_MILLISECONDS), askStoreNow);
         }
     }
 
@@ -253,7 +253,7 @@
     /** The nodes of the other data centres that are most likely to be their readers. */
     private Collection<FleetTarget> firstOfEachOther() {
         Map<String, List<FleetTarget>> byDataCentre = new HashMap<>();
-        for (FleetTarget target : fleet.elsewhere()) {
+        for (FleetTarget target : fleet.inOtherDataCentres()) {
             byDataCentre
                     .computeIfAbsent(target.member().getDataCentre(), name -> new ArrayList<>())
                     .add(target);
--- a/relay/src/main/java/org/damaskmoor/relay/internal/caller/CallerConnection.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/caller/CallerConnection.java
@@ -19,9 +19,9 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
 import java.util.ArrayDeque;
-import org.damaskmoor.core.routes.CallerLimits;
-import org.damaskmoor.platform.machines.HeaderNames;
-import org.damaskmoor.relay.internal.net.HeaderLists;
+import org.damaskmoor.core.routetable.CallerLimits;
+import org.damaskmoor.platform.protocol.HeaderNames;
+import org.damaskmoor.relay.internal.net.ForwardedHeaders;
 import org.damaskmoor.schema.mesh.HeaderField;
 
 /**
@@ -134,7 +134,7 @@
         String id = request.headers().get(HeaderNames.REQUEST_ID, "");
         String host = request.headers().get(HttpHeaderNames.HOST, "");
         if (id.isEmpty() || host.isEmpty()) {
-            reply(CallerReply.own(BAD_REQUEST, "The request must have a host and an id."), id);
+            reply(CallerReply.ofText(BAD_REQUEST, "The request must have a host and an id."), id);
             return;
         }
         CallerRequest whole =
@@ -143,7 +143,7 @@
                         request.method().name(),
                         host,
                         request.uri(),
-                        HeaderLists.request(request.headers()),
+                        ForwardedHeaders.ofRequest(request.headers()),
                         body.toByteString(),
                         patience(request),
                         headAt);
@@ -181,7 +181,7 @@
         if (close) {
             written.addListener(ChannelFutureListener.CLOSE);
         } else if (!behind.isEmpty()) {
-            server.soon(this::readBehind);
+            server.execute(this::readBehind);
         }
     }
 
@@ -216,13 +216,14 @@
         head = null;
         closing = true;
         server.countMalformed(status);
-        FullHttpResponse response = response(CallerReply.own(status, "The request was not read."));
+        FullHttpResponse response =
+                response(CallerReply.ofText(status, "The request was not read."));
         response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
     }
 
     /** Ends what takes too long to arrive, and connections that are idle for too long. */
-    void look(long now, CallerLimits limits) {
+    void checkTimeouts(long now, CallerLimits limits) {
         if (serving || closing) {
             return;
         }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/caller/CallerReply.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/caller/CallerReply.java
@@ -3,7 +3,7 @@
 import com.google.protobuf.ByteString;
 import java.util.List;
 import java.util.Locale;
-import org.damaskmoor.platform.machines.HeaderNames;
+import org.damaskmoor.platform.protocol.HeaderNames;
 import org.damaskmoor.schema.mesh.HeaderField;
 
 /**
@@ -17,7 +17,7 @@
     private static final double MILLISECONDS_PER_SECOND = 1000;
 
     /** A reply of this node's own, with a short text. */
-    public static CallerReply own(int status, String text) {
+    public static CallerReply ofText(int status, String text) {
         return new CallerReply(status, List.of(), ByteString.copyFromUtf8(text + "\n"));
     }
 
--- a/relay/src/main/java/org/damaskmoor/relay/internal/caller/CallerServer.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/caller/CallerServer.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.IntConsumer;
 import java.util.function.Supplier;
-import org.damaskmoor.core.routes.CallerLimits;
-import org.damaskmoor.relay.internal.net.Listening;
+import org.damaskmoor.core.routetable.CallerLimits;
+import org.damaskmoor.relay.internal.net.PortBinder;
 import org.damaskmoor.relay.internal.time.Timers;
 
 /** The port for callers. Confined to the event loop. */
@@ -58,7 +58,7 @@
 
     /** Opens the port. */
     public CompletableFuture<Void> start() {
-        timers.after(LOOK_MILLISECONDS, this::look);
+        timers.schedule(LOOK_MILLISECONDS, this::look);
         ServerBootstrap bootstrap =
                 new ServerBootstrap()
                         .group(loop)
@@ -73,7 +73,7 @@
                                         initialize(channel);
                                     }
                                 });
-        return Listening.start(bootstrap, address, channel -> listening = channel);
+        return PortBinder.bind(bootstrap, address, channel -> listening = channel);
     }
 
     private void initialize(Channel channel) {
@@ -86,7 +86,7 @@
     }
 
     /** Tells callers from now on, with each reply, to connect elsewhere. */
-    public void announceClose() {
+    public void closeAfterReplies() {
         closing = true;
     }
 
@@ -107,9 +107,9 @@
         long now = timers.now();
         CallerLimits inForce = limits.get();
         for (CallerConnection connection : List.copyOf(connections)) {
-            connection.look(now, inForce);
+            connection.checkTimeouts(now, inForce);
         }
-        timers.after(LOOK_MILLISECONDS, this::look);
+        timers.schedule(LOOK_MILLISECONDS, this::look);
     }
 
     void opened(CallerConnection connection) {
@@ -140,7 +140,7 @@
         return timers.now();
     }
 
-    void soon(Runnable task) {
-        timers.soon(task);
+    void execute(Runnable task) {
+        timers.execute(task);
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/control/SmallHttpServer.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/control/ControlHttpServer.java
@@ -22,14 +22,14 @@
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CompletableFuture;
-import org.damaskmoor.relay.internal.net.Listening;
+import org.damaskmoor.relay.internal.net.PortBinder;
 
 /**
  * A port for short questions: readiness, announcements, metrics. Confined to the event loop.
  *
  * <p>Invariant: each request gets one answer; longer bodies than a few kilobytes are refused.
  */
-public final class SmallHttpServer {
+public final class ControlHttpServer {
     private static final int MOST_BODY_BYTES = 64 * 1024;
 
     private final EventLoop loop;
@@ -68,7 +68,7 @@
         }
     }
 
-    public SmallHttpServer(EventLoop loop, InetSocketAddress address, Answerer answerer) {
+    public ControlHttpServer(EventLoop loop, InetSocketAddress address, Answerer answerer) {
         this.loop = loop;
         this.address = address;
         this.answerer = answerer;
@@ -93,7 +93,7 @@
                                                         new Handler());
                                     }
                                 });
-        return Listening.start(bootstrap, address, channel -> listening = channel);
+        return PortBinder.bind(bootstrap, address, channel -> listening = channel);
     }
 
     /** Closes the port. */
--- a/relay/src/main/java/org/damaskmoor/relay/internal/entry/EntryContext.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/entry/EntryContext.java
@@ -2,8 +2,8 @@
 
 import java.util.random.RandomGenerator;
 import org.damaskmoor.core.id.ServiceName;
+import org.damaskmoor.core.placement.RouteStatistics;
 import org.damaskmoor.core.placement.TargetChooser;
-import org.damaskmoor.core.placement.UsualWork;
 import org.damaskmoor.relay.internal.fleet.FleetDirectory;
 import org.damaskmoor.relay.internal.log.EventLog;
 import org.damaskmoor.relay.internal.metrics.RelayMetrics;
@@ -18,7 +18,7 @@
         ServiceName service,
         FleetDirectory fleet,
         TargetChooser chooser,
-        UsualWork usualWork,
+        RouteStatistics usualWork,
         RetryBudgets budgets,
         Timers timers,
         RandomGenerator random,
--- a/relay/src/main/java/org/damaskmoor/relay/internal/entry/EntryExchange.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/entry/EntryExchange.java
@@ -7,18 +7,18 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
+import org.damaskmoor.core.atmostonce.AttemptId;
+import org.damaskmoor.core.atmostonce.EntryAction;
+import org.damaskmoor.core.atmostonce.EntryCall;
 import org.damaskmoor.core.id.Incarnation;
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.core.id.RequestId;
 import org.damaskmoor.core.id.ServiceName;
 import org.damaskmoor.core.id.TargetId;
-import org.damaskmoor.core.once.AttemptId;
-import org.damaskmoor.core.once.EntryAction;
-import org.damaskmoor.core.once.EntryCall;
+import org.damaskmoor.core.placement.CallProfile;
 import org.damaskmoor.core.placement.TargetChooser;
-import org.damaskmoor.core.placement.WorkView;
 import org.damaskmoor.core.retry.FleetRetryBudget;
-import org.damaskmoor.core.routes.Route;
+import org.damaskmoor.core.routetable.Route;
 import org.damaskmoor.relay.internal.caller.CallerReply;
 import org.damaskmoor.relay.internal.caller.CallerRequest;
 import org.damaskmoor.relay.internal.fleet.FleetTarget;
@@ -73,8 +73,8 @@
     private final Route route;
     private final ServiceName service;
     private final EntryContext context;
-    private final ExchangeReplies replies;
-    private final CallFrames frames;
+    private final ExchangeReplySender replies;
+    private final ForwardedCallFactory frames;
     private final Consumer<EntryExchange> finished;
     private final EntryCall call;
     private final FleetRetryBudget budget;
@@ -102,14 +102,15 @@
         this.route = route;
         this.service = service;
         this.context = context;
-        this.replies = new ExchangeReplies(request, route, service, context, reply);
+        this.replies = new ExchangeReplySender(request, route, service, context, reply);
         this.finished = finished;
         this.call = EntryCall.of(id, !route.idempotent());
         this.budget = context.budgets().of(service);
         this.limitAt = request.arrivedAt() + patience();
-        this.frames = new CallFrames(id.sequence(), request, route, service, context, limitAt);
+        this.frames =
+                new ForwardedCallFactory(id.sequence(), request, route, service, context, limitAt);
         this.deadlineTimer =
-                context.timers().after(limitAt - now(), () -> perform(call.deadline()));
+                context.timers().schedule(limitAt - now(), () -> perform(call.deadline()));
     }
 
     private long patience() {
@@ -123,10 +124,10 @@
 
     void start() {
         budget.onRequest(now());
-        if (context.usualWork().isTooShort(route.name(), (double) (limitAt - now()))) {
-            replies.notRun(
+        if (context.usualWork().isDeadlineTooShort(route.name(), (double) (limitAt - now()))) {
+            replies.sendNotRun(
                     RefusalReason.DEADLINE_TOO_SHORT, retryAfterMilliseconds, tried, sentBack);
-            call.callerGone();
+            call.callerDisconnected();
             release();
             return;
         }
@@ -137,17 +138,17 @@
         return id;
     }
 
-    void answered(ForwardedAnswer received) {
+    void onAnswered(ForwardedAnswer received) {
         SentAttempt attempt = end(received.getAttempt());
         if (attempt == null) {
             return;
         }
         boolean failed = received.getStatus() >= FIRST_SERVER_ERROR;
-        attempt.target.estimate().outcome(failed, now());
-        attempt.target.hear(received.getLoad(), now());
+        attempt.target.estimate().onOutcome(failed, now());
+        attempt.target.updateLoad(received.getLoad(), now());
         if (!failed) {
             context.usualWork()
-                    .answered(
+                    .onAnswered(
                             route.name(),
                             received.getUpstreamMilliseconds(),
                             received.getSlownessPercent() / PERCENT,
@@ -167,13 +168,13 @@
         perform(triedAgain ? call.failed(attemptId(attempt)) : call.answered(attemptId(attempt)));
     }
 
-    void refused(ForwardedRefusal received) {
+    void onRefused(ForwardedRefusal received) {
         SentAttempt attempt = end(received.getAttempt());
         if (attempt == null) {
             return;
         }
         atUpstream--;
-        attempt.target.hear(received.getLoad(), now());
+        attempt.target.updateLoad(received.getLoad(), now());
         if (received.getRetryAfterMilliseconds() > 0) {
             retryAfterMilliseconds = received.getRetryAfterMilliseconds();
         }
@@ -185,7 +186,7 @@
             }
             case STALE_INCARNATION, DRAINING, NO_UPSTREAM -> {
                 unreached++;
-                attempt.target.takesNoCalls();
+                attempt.target.markNotAccepting();
             }
             case QUARANTINED -> unreached = MOST_UNREACHED;
             default -> unreached++;
@@ -197,16 +198,16 @@
         perform(call.refused(attemptId(attempt), reason));
     }
 
-    void failed(ForwardedFailure received) {
+    void onFailed(ForwardedFailure received) {
         SentAttempt attempt = end(received.getAttempt());
         if (attempt != null) {
-            attempt.target.estimate().outcome(true, now());
+            attempt.target.estimate().onOutcome(true, now());
             needsBudget = true;
             perform(call.failed(attemptId(attempt)));
         }
     }
 
-    void sealed(CallSealed received) {
+    void onSealed(CallSealed received) {
         SentAttempt attempt = attempts.get(received.getAttempt());
         if (attempt != null) {
             unreached++;
@@ -215,7 +216,7 @@
     }
 
     /** The call was not sent: no connection could be opened. */
-    void unsent(int number) {
+    void onUnsent(int number) {
         SentAttempt attempt = end(number);
         if (attempt != null) {
             atUpstream--;
@@ -226,7 +227,7 @@
     }
 
     /** The link was lost over which calls to this target had been sent. */
-    void linkLost(NodeId target) {
+    void onLinkLost(NodeId target) {
         for (SentAttempt attempt : List.copyOf(attempts.values())) {
             if (attempt.target.node().equals(target) && !attempt.isEnded()) {
                 needsBudget = true;
@@ -236,13 +237,13 @@
     }
 
     /** Tells the caller what is known now. */
-    void end() {
+    void finishNow() {
         perform(call.deadline());
     }
 
-    void callerGone() {
+    void onCallerGone() {
         context.metrics().count("caller-gone");
-        perform(call.callerGone());
+        perform(call.callerDisconnected());
     }
 
     private void perform(List<EntryAction> actions) {
@@ -262,9 +263,9 @@
         } else if (action instanceof EntryAction.Cancel cancel) {
             cancel(cancel.attempt());
         } else if (action instanceof EntryAction.AnswerCaller) {
-            replies.answer(answer, tried, sentBack);
+            replies.sendAnswer(answer, tried, sentBack);
         } else if (action instanceof EntryAction.RefuseCaller refuse) {
-            replies.notRun(refuse.reason(), retryAfterMilliseconds, tried, sentBack);
+            replies.sendNotRun(refuse.reason(), retryAfterMilliseconds, tried, sentBack);
         } else if (action instanceof EntryAction.UnknownToCaller unknown) {
             replyUnknown(unknown);
         }
@@ -293,7 +294,7 @@
                     attempt.attempt(), new SentAttempt(attempt.attempt(), target, targetId, now()));
             tried.add(target.node());
             atUpstream++;
-            target.link().send(frames.call(attempt.attempt(), choice, lastChoice));
+            target.link().send(frames.create(attempt.attempt(), choice, lastChoice));
         }
     }
 
@@ -308,7 +309,7 @@
             return sentBack <= MOST_SENT_BACK && unreached <= MOST_UNREACHED;
         }
         needsBudget = false;
-        return mayReachAnother() && budget.tryTake(context.fleet().all().size(), now());
+        return mayReachAnother() && budget.tryAcquire(context.fleet().all().size(), now());
     }
 
     private boolean mayReachAnother() {
@@ -319,7 +320,7 @@
         long now = now();
         List<FleetTarget> candidates = new ArrayList<>();
         for (FleetTarget target : context.fleet().targets(service)) {
-            boolean possible = target.takesCalls() && !tried.contains(target.node());
+            boolean possible = target.isAcceptingCalls() && !tried.contains(target.node());
             if (possible && !target.estimate().isAvoided(now)) {
                 candidates.add(target);
             }
@@ -327,13 +328,13 @@
         return candidates;
     }
 
-    private WorkView work() {
+    private CallProfile work() {
         double objective =
                 Math.max(LEAST_OBJECTIVE_MILLISECONDS, (double) (frames.objectiveAt() - now()));
-        return new WorkView(
-                context.usualWork().milliseconds(route.name()),
+        return new CallProfile(
+                context.usualWork().meanMilliseconds(route.name()),
                 objective,
-                context.usualWork().kilobytes(route.name()));
+                context.usualWork().meanKilobytes(route.name()));
     }
 
     /** Only a call that may not be repeated is worth the wait for word about it. */
@@ -352,7 +353,8 @@
                                 .setAttempt(attempt.attempt())
                                 .setTargetIncarnation(sent.target.link().targetIncarnation())
                                 .build());
-        context.timers().after(SEAL_TIMEOUT_MILLISECONDS, () -> perform(call.sealTimeout(attempt)));
+        context.timers()
+                .schedule(SEAL_TIMEOUT_MILLISECONDS, () -> perform(call.sealTimeout(attempt)));
     }
 
     private void cancel(AttemptId attempt) {
@@ -364,9 +366,9 @@
 
     private void replyUnknown(EntryAction.UnknownToCaller unknown) {
         if (answer != null) {
-            replies.answer(answer, tried, sentBack);
+            replies.sendAnswer(answer, tried, sentBack);
         } else {
-            replies.unknown(unknown, tried, sentBack);
+            replies.sendUnknown(unknown, tried, sentBack);
         }
     }
 
--- a/relay/src/main/java/org/damaskmoor/relay/internal/entry/EntryDesk.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/entry/EntryRequestHandler.java
@@ -10,13 +10,13 @@
 import org.damaskmoor.core.id.RequestId;
 import org.damaskmoor.core.id.ServiceName;
 import org.damaskmoor.core.quarantine.RequestFingerprint;
-import org.damaskmoor.core.routes.Route;
-import org.damaskmoor.core.routes.RouteTable;
-import org.damaskmoor.core.routes.WeightedTurns;
+import org.damaskmoor.core.routetable.Route;
+import org.damaskmoor.core.routetable.RouteTable;
+import org.damaskmoor.core.routetable.SmoothWeightedRoundRobin;
 import org.damaskmoor.relay.internal.caller.CallerHandler;
 import org.damaskmoor.relay.internal.caller.CallerReply;
 import org.damaskmoor.relay.internal.caller.CallerRequest;
-import org.damaskmoor.relay.internal.link.CallOutcomes;
+import org.damaskmoor.relay.internal.link.CallOutcomeListener;
 import org.damaskmoor.schema.link.CallSealed;
 import org.damaskmoor.schema.link.ForwardedAnswer;
 import org.damaskmoor.schema.link.ForwardedCall;
@@ -30,7 +30,7 @@
  *
  * <p>Confined to the event loop. Invariant: each request of a caller gets one reply.
  */
-public final class EntryDesk implements CallerHandler {
+public final class EntryRequestHandler implements CallerHandler {
     private static final int NOT_FOUND = 404;
     private static final int FIRST_SERVER_ERROR = 500;
 
@@ -46,16 +46,19 @@
     private final NodeId self;
     private final Incarnation incarnation;
     private final EntryContext context;
-    private final CrashedRequests crashed;
+    private final QuarantinedRequests crashed;
     private final Map<Long, EntryExchange> exchanges = new HashMap<>();
-    private final Map<String, WeightedTurns> turns = new HashMap<>();
+    private final Map<String, SmoothWeightedRoundRobin> turns = new HashMap<>();
     private RouteTable routes;
     private boolean closed;
     private long sequence;
     private long lastFailureAt = Long.MIN_VALUE;
 
-    public EntryDesk(
-            NodeId self, Incarnation incarnation, EntryContext context, CrashedRequests crashed) {
+    public EntryRequestHandler(
+            NodeId self,
+            Incarnation incarnation,
+            EntryContext context,
+            QuarantinedRequests crashed) {
         this.self = self;
         this.incarnation = incarnation;
         this.context = context;
@@ -63,20 +66,20 @@
     }
 
     /** Puts a configuration in force. */
-    public void configure(RouteTable newer) {
+    public void applyRoutes(RouteTable newer) {
         routes = newer;
         turns.keySet()
                 .removeIf(name -> newer.routes().stream().noneMatch(r -> r.name().equals(name)));
     }
 
     /** Refuses requests that come from now on: this node is about to end. */
-    public void refuseNew() {
+    public void rejectNewRequests() {
         closed = true;
     }
 
     /** Answers what is still open as far as it is known: this node ends now. */
-    public void endAll() {
-        List.copyOf(exchanges.values()).forEach(EntryExchange::end);
+    public void finishAll() {
+        List.copyOf(exchanges.values()).forEach(EntryExchange::finishNow);
     }
 
     /**
@@ -111,7 +114,7 @@
                     .with("path", request.path())
                     .with("version", routes.version())
                     .write();
-            reply.accept(CallerReply.own(NOT_FOUND, "No route leads to this host and path."));
+            reply.accept(CallerReply.ofText(NOT_FOUND, "No route leads to this host and path."));
             return () -> {};
         }
         if (isQuarantined(request)) {
@@ -142,7 +145,7 @@
         exchange.start();
         return () -> {
             lastFailureAt = context.timers().now();
-            exchange.callerGone();
+            exchange.onCallerGone();
         };
     }
 
@@ -150,17 +153,17 @@
         if (route.parts().size() == 1) {
             return route.parts().get(0).service();
         }
-        WeightedTurns current = turns.get(route.name());
+        SmoothWeightedRoundRobin current = turns.get(route.name());
         if (current == null || !current.parts().equals(route.parts())) {
-            current = new WeightedTurns(route.parts(), context.random().nextInt());
+            current = new SmoothWeightedRoundRobin(route.parts(), context.random().nextInt());
             turns.put(route.name(), current);
         }
         return current.next();
     }
 
     private boolean isQuarantined(CallerRequest request) {
-        return crashed.isAny()
-                && crashed.holds(
+        return crashed.hasAny()
+                && crashed.contains(
                         RequestFingerprint.of(
                                 request.method(),
                                 request.target(),
@@ -180,21 +183,21 @@
     }
 
     /** What a target tells of calls. */
-    public CallOutcomes outcomes(NodeId target) {
+    public CallOutcomeListener outcomeListener(NodeId target) {
         return new Outcomes(target);
     }
 
     /** Calls that were not sent. */
-    public void unsent(List<ForwardedCall> calls) {
+    public void onUnsent(List<ForwardedCall> calls) {
         for (ForwardedCall call : calls) {
-            find(call.getSequence()).ifPresent(exchange -> exchange.unsent(call.getAttempt()));
+            find(call.getSequence()).ifPresent(exchange -> exchange.onUnsent(call.getAttempt()));
         }
     }
 
     /** The link to a target was lost. */
-    public void lost(NodeId target) {
+    public void onLinkLost(NodeId target) {
         for (EntryExchange exchange : List.copyOf(exchanges.values())) {
-            exchange.linkLost(target);
+            exchange.onLinkLost(target);
         }
     }
 
@@ -202,7 +205,7 @@
         return Optional.ofNullable(exchanges.get(number));
     }
 
-    private final class Outcomes implements CallOutcomes {
+    private final class Outcomes implements CallOutcomeListener {
         private final NodeId target;
 
         Outcomes(NodeId target) {
@@ -210,29 +213,29 @@
         }
 
         @Override
-        public void answered(ForwardedAnswer answer) {
-            find(answer.getSequence()).ifPresent(exchange -> exchange.answered(answer));
+        public void onAnswered(ForwardedAnswer answer) {
+            find(answer.getSequence()).ifPresent(exchange -> exchange.onAnswered(answer));
         }
 
         @Override
-        public void refused(ForwardedRefusal refusal) {
-            find(refusal.getSequence()).ifPresent(exchange -> exchange.refused(refusal));
+        public void onRefused(ForwardedRefusal refusal) {
+            find(refusal.getSequence()).ifPresent(exchange -> exchange.onRefused(refusal));
         }
 
         @Override
-        public void failed(ForwardedFailure failure) {
-            find(failure.getSequence()).ifPresent(exchange -> exchange.failed(failure));
+        public void onFailed(ForwardedFailure failure) {
+            find(failure.getSequence()).ifPresent(exchange -> exchange.onFailed(failure));
         }
 
         @Override
-        public void sealed(CallSealed sealed) {
-            find(sealed.getSequence()).ifPresent(exchange -> exchange.sealed(sealed));
+        public void onSealed(CallSealed sealed) {
+            find(sealed.getSequence()).ifPresent(exchange -> exchange.onSealed(sealed));
         }
 
         @Override
-        public void load(TargetLoad load) {
+        public void onLoad(TargetLoad load) {
             long now = context.timers().now();
-            context.fleet().find(target).ifPresent(known -> known.hear(load, now));
+            context.fleet().find(target).ifPresent(known -> known.updateLoad(load, now));
         }
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/entry/ExchangeReplies.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/entry/ExchangeReplySender.java
@@ -2,11 +2,11 @@
 
 import java.util.Collection;
 import java.util.function.Consumer;
+import org.damaskmoor.core.atmostonce.EntryAction;
+import org.damaskmoor.core.atmostonce.UnknownOutcomeStep;
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.core.id.ServiceName;
-import org.damaskmoor.core.once.CallStep;
-import org.damaskmoor.core.once.EntryAction;
-import org.damaskmoor.core.routes.Route;
+import org.damaskmoor.core.routetable.Route;
 import org.damaskmoor.relay.internal.caller.CallerReply;
 import org.damaskmoor.relay.internal.caller.CallerRequest;
 import org.damaskmoor.schema.link.ForwardedAnswer;
@@ -16,7 +16,7 @@
  * Tells a caller how its request has ended, and the log and the metrics with it. Confined to the
  * event loop.
  */
-final class ExchangeReplies {
+final class ExchangeReplySender {
     private static final int UNAVAILABLE = 503;
     private static final int BAD_GATEWAY = 502;
     private static final int GATEWAY_TIMEOUT = 504;
@@ -32,7 +32,7 @@
     private final EntryContext context;
     private final Consumer<CallerReply> reply;
 
-    ExchangeReplies(
+    ExchangeReplySender(
             CallerRequest request,
             Route route,
             ServiceName service,
@@ -46,14 +46,14 @@
     }
 
     /** An upstream's answer, as it is. */
-    void answer(ForwardedAnswer answer, Collection<NodeId> tried, int sentBack) {
+    void sendAnswer(ForwardedAnswer answer, Collection<NodeId> tried, int sentBack) {
         log(answer.getStatus(), "answered", tried, sentBack);
         reply.accept(
                 new CallerReply(answer.getStatus(), answer.getHeadersList(), answer.getBody()));
     }
 
     /** It has not run and never will. */
-    void notRun(
+    void sendNotRun(
             RefusalReason reason,
             long retryAfterMilliseconds,
             Collection<NodeId> tried,
@@ -66,13 +66,13 @@
     }
 
     /** It is unknown whether it ran. */
-    void unknown(EntryAction.UnknownToCaller unknown, Collection<NodeId> tried, int sentBack) {
+    void sendUnknown(EntryAction.UnknownToCaller unknown, Collection<NodeId> tried, int sentBack) {
         String step = unknown.step().wireName();
-        int status = unknown.step() == CallStep.DEADLINE ? GATEWAY_TIMEOUT : BAD_GATEWAY;
+        int status = unknown.step() == UnknownOutcomeStep.DEADLINE ? GATEWAY_TIMEOUT : BAD_GATEWAY;
         log(status, step, tried, sentBack);
         context.metrics().count("unknown", step);
         reply.accept(
-                CallerReply.own(
+                CallerReply.ofText(
                         status,
                         "It is unknown whether the request ran: "
                                 + step
@@ -83,7 +83,7 @@
 
     private void log(int status, String outcome, Collection<NodeId> tried, int sentBack) {
         long took = context.timers().now() - request.arrivedAt();
-        context.metrics().duration("request." + service.value(), took);
+        context.metrics().recordDuration("request." + service.value(), took);
         context.log()
                 .event("request-ended")
                 .with("request", request.id())
@@ -93,7 +93,7 @@
                 .with("outcome", outcome)
                 .with("sent_back", sentBack)
                 .with("took_ms", took)
-                .with("usual_ms", Math.round(context.usualWork().milliseconds(route.name())))
+                .with("usual_ms", Math.round(context.usualWork().meanMilliseconds(route.name())))
                 .with("targets", tried)
                 .write();
     }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/entry/CallFrames.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/entry/ForwardedCallFactory.java
@@ -2,13 +2,13 @@
 
 import org.damaskmoor.core.id.ServiceName;
 import org.damaskmoor.core.placement.TargetChooser;
-import org.damaskmoor.core.routes.Route;
+import org.damaskmoor.core.routetable.Route;
 import org.damaskmoor.relay.internal.caller.CallerRequest;
 import org.damaskmoor.relay.internal.fleet.FleetTarget;
 import org.damaskmoor.schema.link.ForwardedCall;
 
 /** Makes the calls that a request sends to targets. Confined to the event loop. */
-final class CallFrames {
+final class ForwardedCallFactory {
     /** Bound on what is told of the spare time; longer than any wait at a target. */
     private static final double MOST_SPARE_MILLISECONDS = 60_000;
 
@@ -21,7 +21,7 @@
     private final EntryContext context;
     private final long limitAt;
 
-    CallFrames(
+    ForwardedCallFactory(
             long sequence,
             CallerRequest request,
             Route route,
@@ -43,11 +43,12 @@
                 : limitAt;
     }
 
-    ForwardedCall call(int attempt, TargetChooser.Choice<FleetTarget> choice, boolean lastChoice) {
+    ForwardedCall create(
+            int attempt, TargetChooser.Choice<FleetTarget> choice, boolean lastChoice) {
         long now = context.timers().now();
-        double slowness = choice.target().estimate().steadySlowness();
+        double slowness = choice.target().estimate().baselineSlowness();
         double spare = Math.min(MOST_SPARE_MILLISECONDS, choice.spareMilliseconds());
-        double usual = context.usualWork().milliseconds(route.name());
+        double usual = context.usualWork().meanMilliseconds(route.name());
         return ForwardedCall.newBuilder()
                 .setSequence(sequence)
                 .setAttempt(attempt)
--- a/relay/src/main/java/org/damaskmoor/relay/internal/entry/SentAttempt.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/entry/SentAttempt.java
@@ -16,7 +16,7 @@
         this.target = target;
         this.targetId = targetId;
         this.sentAt = sentAt;
-        target.estimate().sent(sentAt);
+        target.estimate().onSent(sentAt);
     }
 
     boolean isEnded() {
@@ -27,7 +27,7 @@
     void end() {
         if (!ended) {
             ended = true;
-            target.estimate().ended(sentAt);
+            target.estimate().onEnded(sentAt);
         }
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/fleet/ConfigurationHolder.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/fleet/ConfigurationHolder.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.damaskmoor.core.routes.RouteTable;
-import org.damaskmoor.platform.machines.ConfigurationDecoder;
-import org.damaskmoor.platform.machines.StoredRow;
-import org.damaskmoor.platform.machines.UnreadableMessageException;
+import org.damaskmoor.core.routetable.RouteTable;
+import org.damaskmoor.platform.protocol.ConfigurationDecoder;
+import org.damaskmoor.platform.protocol.MalformedMessageException;
+import org.damaskmoor.platform.protocol.StoredRow;
 import org.damaskmoor.relay.internal.log.EventLog;
 
 /**
@@ -51,12 +51,12 @@
     @Override
     public void onChange(StoredRow row) {
         if (row.key().equals(ConfigurationDecoder.KEY) && !row.removed()) {
-            offer(row.value(), "store");
+            applyIfNewer(row.value(), "store");
         }
     }
 
     /** Puts a configuration in force if it is newer and valid. */
-    public void offer(ByteString offered, String source) {
+    public void applyIfNewer(ByteString offered, String source) {
         if (offered.isEmpty() || offered.equals(text)) {
             return;
         }
@@ -79,7 +79,7 @@
                     .with("source", source)
                     .write();
             listener.accept(table);
-        } catch (UnreadableMessageException invalid) {
+        } catch (MalformedMessageException invalid) {
             log.event("configuration-rejected")
                     .with("source", source)
                     .with("cause", invalid.getMessage())
--- a/relay/src/main/java/org/damaskmoor/relay/internal/fleet/FleetDirectory.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/fleet/FleetDirectory.java
@@ -14,9 +14,9 @@
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.core.id.RegionName;
 import org.damaskmoor.core.id.ServiceName;
-import org.damaskmoor.core.placement.Nearness;
+import org.damaskmoor.core.placement.Proximity;
 import org.damaskmoor.core.placement.TargetEstimate;
-import org.damaskmoor.platform.machines.StoredRow;
+import org.damaskmoor.platform.protocol.StoredRow;
 import org.damaskmoor.relay.internal.link.CallLink;
 import org.damaskmoor.relay.internal.log.EventLog;
 import org.damaskmoor.relay.internal.net.Addresses;
@@ -68,7 +68,7 @@
 
     /** Adds this node itself. */
     public void addSelf(FleetMember member, CallLink link) {
-        TargetEstimate estimate = new TargetEstimate(Nearness.SELF, 1, timers.now());
+        TargetEstimate estimate = new TargetEstimate(Proximity.SELF, 1, timers.now());
         put(new FleetTarget(self, member, estimate, link));
     }
 
@@ -88,7 +88,7 @@
     }
 
     /** Whether the store has told its records at least once. */
-    public boolean snapshotSeen() {
+    public boolean hasSnapshot() {
         return snapshotSeen;
     }
 
@@ -98,7 +98,7 @@
     }
 
     /** The nodes of the other data centres. */
-    public List<FleetTarget> elsewhere() {
+    public List<FleetTarget> inOtherDataCentres() {
         return targets.values().stream().filter(target -> !isInDataCentre(target)).toList();
     }
 
@@ -162,7 +162,7 @@
      *
      * @return whether it is the one that was expected at that address
      */
-    public boolean greeted(NodeId expected, LinkHello hello) {
+    public boolean onHello(NodeId expected, LinkHello hello) {
         if (!hello.getNodeId().equals(expected.value())) {
             log.event("address-reused")
                     .with("node", expected)
@@ -171,7 +171,7 @@
             remove(expected);
             return false;
         }
-        find(expected).ifPresent(target -> target.hear(hello.getLoad(), timers.now()));
+        find(expected).ifPresent(target -> target.updateLoad(hello.getLoad(), timers.now()));
         return true;
     }
 
@@ -230,12 +230,12 @@
         }
     }
 
-    private Nearness nearness(FleetMember member) {
+    private Proximity nearness(FleetMember member) {
         if (!member.getRegion().equals(region.value())) {
-            return Nearness.REMOTE;
+            return Proximity.REMOTE;
         }
         boolean sameDataCentre = member.getDataCentre().equals(dataCentre.value());
-        return sameDataCentre ? Nearness.DATA_CENTRE : Nearness.REGION;
+        return sameDataCentre ? Proximity.DATA_CENTRE : Proximity.REGION;
     }
 
     private static boolean isNewer(FleetMember news, FleetMember known) {
--- a/relay/src/main/java/org/damaskmoor/relay/internal/fleet/FleetTarget.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/fleet/FleetTarget.java
@@ -50,19 +50,19 @@
     }
 
     /** Whether its upstream takes calls, as far as it is known. */
-    public boolean takesCalls() {
+    public boolean isAcceptingCalls() {
         return state == UpstreamState.SERVING;
     }
 
     /** Its upstream does not take calls until it says so again. */
-    public void takesNoCalls() {
+    public void markNotAccepting() {
         state = UpstreamState.LEAVING;
     }
 
     /** It told its load. */
-    public void hear(TargetLoad load, long now) {
+    public void updateLoad(TargetLoad load, long now) {
         state = load.getState();
-        estimate.hear(
+        estimate.onLoadReport(
                 new LoadSnapshot(
                         load.getRunning(),
                         load.getWaiting(),
--- a/relay/src/main/java/org/damaskmoor/relay/internal/fleet/OwnRecord.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/fleet/OwnRecordPublisher.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.random.RandomGenerator;
 import org.damaskmoor.core.id.NodeId;
-import org.damaskmoor.platform.machines.RowStore;
-import org.damaskmoor.platform.machines.StoredRow;
+import org.damaskmoor.platform.protocol.RowStore;
+import org.damaskmoor.platform.protocol.StoredRow;
 import org.damaskmoor.relay.internal.log.EventLog;
 import org.damaskmoor.relay.internal.time.Timers;
 import org.damaskmoor.schema.link.FleetMember;
@@ -17,7 +17,7 @@
  * <p>Confined to the event loop. Invariant: at most one write is under way; a write is repeated
  * until the store holds the wanted record.
  */
-public final class OwnRecord {
+public final class OwnRecordPublisher {
     private static final long PAUSE_MILLISECONDS = 300;
 
     private final NodeId self;
@@ -32,7 +32,7 @@
     private boolean writing;
     private boolean leaving;
 
-    public OwnRecord(
+    public OwnRecordPublisher(
             NodeId self, RowStore store, Timers timers, RandomGenerator random, EventLog log) {
         this.self = self;
         this.store = store;
@@ -42,7 +42,7 @@
     }
 
     /** The store's row of this node, as it was read or has changed. */
-    public void onStored(StoredRow row) {
+    public void onRow(StoredRow row) {
         storedKnown = true;
         storedVersion = row.removed() ? 0 : row.version();
         try {
@@ -58,20 +58,20 @@
     }
 
     /** The store holds no row of this node. */
-    public void onNotStored() {
+    public void onRowAbsent() {
         storedKnown = true;
         stored = FleetMember.getDefaultInstance();
         writeIfNeeded();
     }
 
     /** The record that the store is to hold. */
-    public void want(FleetMember member) {
+    public void publish(FleetMember member) {
         wanted = member;
         writeIfNeeded();
     }
 
     /** Removes the record; completes when the store has done so or did not answer. */
-    public CompletableFuture<Void> leave() {
+    public CompletableFuture<Void> remove() {
         leaving = true;
         if (storedVersion == 0) {
             return CompletableFuture.completedFuture(null);
@@ -101,7 +101,7 @@
                             } else {
                                 long pause =
                                         PAUSE_MILLISECONDS + random.nextLong(PAUSE_MILLISECONDS);
-                                timers.after(pause, this::writeIfNeeded);
+                                timers.schedule(pause, this::writeIfNeeded);
                             }
                         });
     }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/fleet/TableWatch.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/fleet/TableWatch.java
@@ -5,10 +5,10 @@
 import java.util.Optional;
 import java.util.concurrent.CompletionException;
 import java.util.random.RandomGenerator;
-import org.damaskmoor.platform.machines.HistoryGoneException;
-import org.damaskmoor.platform.machines.RowPage;
-import org.damaskmoor.platform.machines.RowStore;
-import org.damaskmoor.platform.machines.StoredRow;
+import org.damaskmoor.platform.protocol.HistoryCompactedException;
+import org.damaskmoor.platform.protocol.RowPage;
+import org.damaskmoor.platform.protocol.RowStore;
+import org.damaskmoor.platform.protocol.StoredRow;
 import org.damaskmoor.relay.internal.log.EventLog;
 import org.damaskmoor.relay.internal.time.Timers;
 
@@ -97,7 +97,7 @@
     }
 
     /** Ends the present rest or pause, if there is one, and asks the store now. */
-    public void askNow() {
+    public void pollNow() {
         Optional<Rest> ended = resting;
         resting = Optional.empty();
         ended.ifPresent(Rest::end);
@@ -109,7 +109,7 @@
     }
 
     /** Gives the present question up, as its connection may be silent, and reads anew. */
-    public void askAnew() {
+    public void rereadTable() {
         log.event("store-asked-anew").with("table", table).write();
         resting.ifPresent(rest -> rest.timer().cancel());
         resting = Optional.empty();
@@ -156,7 +156,7 @@
     }
 
     private void rest(long milliseconds, Runnable next) {
-        resting = Optional.of(new Rest(timers.after(milliseconds, this::askNow), next));
+        resting = Optional.of(new Rest(timers.schedule(milliseconds, this::pollNow), next));
     }
 
     private void watch(long version) {
@@ -192,7 +192,7 @@
 
     private void onFailure(Throwable failure, Runnable next) {
         Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
-        if (cause instanceof HistoryGoneException) {
+        if (cause instanceof HistoryCompactedException) {
             log.event("history-gone").with("table", table).write();
             start();
             return;
--- a/relay/src/main/java/org/damaskmoor/relay/internal/link/CallOutcomes.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/link/CallOutcomeListener.java
@@ -7,19 +7,19 @@
 import org.damaskmoor.schema.link.TargetLoad;
 
 /** What a target tells an entry. Confined to the event loop. */
-public interface CallOutcomes {
+public interface CallOutcomeListener {
     /** A call was answered. */
-    void answered(ForwardedAnswer answer);
+    void onAnswered(ForwardedAnswer answer);
 
     /** A call did not run and never will. */
-    void refused(ForwardedRefusal refusal);
+    void onRefused(ForwardedRefusal refusal);
 
     /** A call was handed over and got no whole answer. */
-    void failed(ForwardedFailure failure);
+    void onFailed(ForwardedFailure failure);
 
     /** A lost call was found. */
-    void sealed(CallSealed sealed);
+    void onSealed(CallSealed sealed);
 
     /** The load of this instant. */
-    void load(TargetLoad load);
+    void onLoad(TargetLoad load);
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/link/EntryName.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/link/EntryId.java
@@ -9,4 +9,4 @@
  * @param node the entry node
  * @param incarnation its incarnation
  */
-public record EntryName(NodeId node, Incarnation incarnation) {}
+public record EntryId(NodeId node, Incarnation incarnation) {}
--- a/relay/src/main/java/org/damaskmoor/relay/internal/link/HelloMaker.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/link/HelloFrameFactory.java
@@ -7,13 +7,13 @@
 import org.damaskmoor.schema.link.LinkHello;
 
 /** Makes the first frame of each link; each has a greater number. Confined to the event loop. */
-final class HelloMaker {
+final class HelloFrameFactory {
     private final NodeId self;
     private final Incarnation incarnation;
     private final LongSupplier configurationVersion;
     private long links;
 
-    HelloMaker(NodeId self, Incarnation incarnation, LongSupplier configurationVersion) {
+    HelloFrameFactory(NodeId self, Incarnation incarnation, LongSupplier configurationVersion) {
         this.self = self;
         this.incarnation = incarnation;
         this.configurationVersion = configurationVersion;
--- a/relay/src/main/java/org/damaskmoor/relay/internal/link/IncomingLink.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/link/IncomingLink.java
@@ -19,21 +19,22 @@
  * <p>Invariants: frames before the hello, and frames after the link was fenced, are not taken; nor
  * are calls that are meant for another node, which had this address before.
  */
-final class IncomingLink extends SimpleChannelInboundHandler<LinkFrame> implements CallOutcomes {
+final class IncomingLink extends SimpleChannelInboundHandler<LinkFrame>
+        implements CallOutcomeListener {
     private final LinkServer server;
-    private final CallReceiver receiver;
+    private final IncomingLinkHandler receiver;
     private ChannelHandlerContext context;
-    private EntryName entry;
+    private EntryId entry;
     private long number;
     private boolean fenced;
     private boolean callsTaken;
 
-    IncomingLink(LinkServer server, CallReceiver receiver) {
+    IncomingLink(LinkServer server, IncomingLinkHandler receiver) {
         this.server = server;
         this.receiver = receiver;
     }
 
-    EntryName entry() {
+    EntryId entry() {
         return entry;
     }
 
@@ -77,11 +78,9 @@
             close();
             return;
         }
-        entry =
-                new EntryName(
-                        new NodeId(hello.getNodeId()), new Incarnation(hello.getIncarnation()));
+        entry = new EntryId(new NodeId(hello.getNodeId()), new Incarnation(hello.getIncarnation()));
         number = hello.getLinkNumber();
-        LinkHello greeting = receiver.greeting(entry, this);
+        LinkHello greeting = receiver.createHello(entry, this);
         String expected = hello.getExpectedNodeId();
         boolean meant = expected.equals(greeting.getNodeId());
         callsTaken = meant && server.register(this);
@@ -98,9 +97,10 @@
             case FLEET_REQUEST ->
                     write(
                             LinkFrame.newBuilder()
-                                    .setFleetNews(receiver.news(frame.getFleetRequest())));
-            case FLEET_NEWS -> receiver.onNews(frame.getFleetNews());
-            case READER_SIGN -> receiver.onSign(frame.getReaderSign());
+                                    .setFleetNews(
+                                            receiver.createFleetNews(frame.getFleetRequest())));
+            case FLEET_NEWS -> receiver.onFleetNews(frame.getFleetNews());
+            case READER_SIGN -> receiver.onReaderSign(frame.getReaderSign());
             default -> {
                 // A frame of a later version.
             }
@@ -111,11 +111,11 @@
         if (!callsTaken) {
             close();
         } else if (frame.hasCall()) {
-            receiver.call(entry, frame.getCall(), this);
+            receiver.onCall(entry, frame.getCall(), this);
         } else if (frame.hasSeal()) {
-            receiver.seal(entry, frame.getSeal(), this);
+            receiver.onSeal(entry, frame.getSeal(), this);
         } else {
-            receiver.cancel(entry, frame.getCancel());
+            receiver.onCancel(entry, frame.getCancel());
         }
     }
 
@@ -124,7 +124,7 @@
         fenced = true;
         if (entry != null) {
             server.unregister(this);
-            receiver.ended(entry, this);
+            receiver.onLinkClosed(entry, this);
         }
     }
 
@@ -134,27 +134,27 @@
     }
 
     @Override
-    public void answered(ForwardedAnswer answer) {
+    public void onAnswered(ForwardedAnswer answer) {
         write(LinkFrame.newBuilder().setAnswer(answer));
     }
 
     @Override
-    public void refused(ForwardedRefusal refusal) {
+    public void onRefused(ForwardedRefusal refusal) {
         write(LinkFrame.newBuilder().setRefusal(refusal));
     }
 
     @Override
-    public void failed(ForwardedFailure failure) {
+    public void onFailed(ForwardedFailure failure) {
         write(LinkFrame.newBuilder().setFailure(failure));
     }
 
     @Override
-    public void sealed(CallSealed sealed) {
+    public void onSealed(CallSealed sealed) {
         write(LinkFrame.newBuilder().setSealed(sealed));
     }
 
     @Override
-    public void load(TargetLoad load) {
+    public void onLoad(TargetLoad load) {
         write(LinkFrame.newBuilder().setLoad(load));
     }
 
--- a/relay/src/main/java/org/damaskmoor/relay/internal/link/CallReceiver.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/link/IncomingLinkHandler.java
@@ -9,28 +9,28 @@
 import org.damaskmoor.schema.link.ReaderSign;
 
 /** The target's side of links. Confined to the event loop. */
-public interface CallReceiver {
+public interface IncomingLinkHandler {
     /** An entry has opened a link; returns what the target says of itself. */
-    LinkHello greeting(EntryName entry, CallOutcomes outcomes);
+    LinkHello createHello(EntryId entry, CallOutcomeListener outcomes);
 
     /** A call came. */
-    void call(EntryName entry, ForwardedCall call, CallOutcomes outcomes);
+    void onCall(EntryId entry, ForwardedCall call, CallOutcomeListener outcomes);
 
     /** An entry asks to stop a call for good that it had sent over a lost link. */
-    void seal(EntryName entry, CallSeal seal, CallOutcomes outcomes);
+    void onSeal(EntryId entry, CallSeal seal, CallOutcomeListener outcomes);
 
     /** An entry no longer waits for a call. */
-    void cancel(EntryName entry, CallCancel cancel);
+    void onCancel(EntryId entry, CallCancel cancel);
 
     /** A link ended. */
-    void ended(EntryName entry, CallOutcomes outcomes);
+    void onLinkClosed(EntryId entry, CallOutcomeListener outcomes);
 
     /** Makes an answer to a peer that asks what the fleet looks like. */
-    FleetNews news(FleetRequest request);
+    FleetNews createFleetNews(FleetRequest request);
 
     /** A peer told what it knows of the fleet. */
-    void onNews(FleetNews news);
+    void onFleetNews(FleetNews news);
 
     /** A node told that it reads the store for its data centre. */
-    void onSign(ReaderSign sign);
+    void onReaderSign(ReaderSign sign);
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/link/LinkDialer.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/link/LinkDialer.java
@@ -8,7 +8,7 @@
 import java.util.function.LongSupplier;
 import org.damaskmoor.core.id.Incarnation;
 import org.damaskmoor.core.id.NodeId;
-import org.damaskmoor.platform.machines.KeepAliveProbes;
+import org.damaskmoor.platform.protocol.TcpKeepAlive;
 import org.damaskmoor.relay.internal.time.Timers;
 
 /** Makes links to other nodes. Confined to the event loop. */
@@ -17,7 +17,7 @@
     private static final int CONNECT_TIMEOUT_MILLISECONDS = 800;
 
     private final Bootstrap bootstrap;
-    private final HelloMaker hellos;
+    private final HelloFrameFactory hellos;
     private final Timers timers;
 
     public LinkDialer(
@@ -27,14 +27,14 @@
             Incarnation incarnation,
             LongSupplier configurationVersion) {
         this.timers = timers;
-        this.hellos = new HelloMaker(self, incarnation, configurationVersion);
+        this.hellos = new HelloFrameFactory(self, incarnation, configurationVersion);
         this.bootstrap =
                 new Bootstrap()
                         .group(loop)
                         .channel(NioSocketChannel.class)
                         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLISECONDS)
                         .option(ChannelOption.TCP_NODELAY, true);
-        KeepAliveProbes.enable(bootstrap);
+        TcpKeepAlive.enable(bootstrap);
     }
 
     /** A link that is opened when it is first needed. */
@@ -44,7 +44,7 @@
     }
 
     /** A link to whichever node is at an address, which only asks for news. */
-    public CallLink newsLink(InetSocketAddress address, LinkListener listener) {
+    public CallLink seedLink(InetSocketAddress address, LinkListener listener) {
         NodeId unknown = new NodeId("at-" + address.getHostString());
         return new OutgoingLink(
                 unknown, address, bootstrap, () -> hellos.frame(""), timers, listener);
--- a/relay/src/main/java/org/damaskmoor/relay/internal/link/LinkListener.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/link/LinkListener.java
@@ -9,17 +9,17 @@
 /** What an entry learns from its links to targets. Confined to the event loop. */
 public interface LinkListener {
     /** The outcomes of calls sent to a target. */
-    CallOutcomes outcomes(NodeId target);
+    CallOutcomeListener outcomeListener(NodeId target);
 
     /** A target has said who it is. */
-    void greeted(NodeId target, LinkHello hello);
+    void onHello(NodeId target, LinkHello hello);
 
     /** Calls that certainly did not reach the target: not one byte of them was sent. */
-    void unsent(NodeId target, List<ForwardedCall> calls);
+    void onUnsent(NodeId target, List<ForwardedCall> calls);
 
     /** A link was lost over which calls had been sent; their fate is not known. */
-    void lost(NodeId target);
+    void onLinkLost(NodeId target);
 
     /** A peer told what it knows of the fleet. */
-    void news(FleetNews news);
+    void onFleetNews(FleetNews news);
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/link/LinkServer.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/link/LinkServer.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import org.damaskmoor.core.id.NodeId;
-import org.damaskmoor.relay.internal.net.Listening;
+import org.damaskmoor.relay.internal.net.PortBinder;
 import org.damaskmoor.schema.link.TargetLoad;
 
 /**
@@ -24,11 +24,11 @@
 public final class LinkServer {
     private final EventLoop loop;
     private final InetSocketAddress address;
-    private final CallReceiver receiver;
+    private final IncomingLinkHandler receiver;
     private final Map<NodeId, IncomingLink> links = new HashMap<>();
     private Channel listening;
 
-    public LinkServer(EventLoop loop, InetSocketAddress address, CallReceiver receiver) {
+    public LinkServer(EventLoop loop, InetSocketAddress address, IncomingLinkHandler receiver) {
         this.loop = loop;
         this.address = address;
         this.receiver = receiver;
@@ -52,12 +52,12 @@
                                                 new IncomingLink(LinkServer.this, receiver));
                                     }
                                 });
-        return Listening.start(bootstrap, address, channel -> listening = channel);
+        return PortBinder.bind(bootstrap, address, channel -> listening = channel);
     }
 
     /** Tells all entries the load of this instant. */
     public void broadcast(TargetLoad load) {
-        links.values().forEach(link -> link.load(load));
+        links.values().forEach(link -> link.onLoad(load));
     }
 
     /** Closes the port and all links. */
--- a/relay/src/main/java/org/damaskmoor/relay/internal/link/OutgoingLink.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/link/OutgoingLink.java
@@ -132,7 +132,7 @@
         Channel opened = channel;
         opened.closeFuture().addListener(done -> onClosed(opened));
         opened.writeAndFlush(hellos.get());
-        timers.after(
+        timers.schedule(
                 GREETING_TIMEOUT_MILLISECONDS,
                 () -> {
                     if (opened == channel && !greeted) {
@@ -152,7 +152,7 @@
         awaited.clear();
         refuseWaiting();
         if (callsLost) {
-            listener.lost(peer);
+            listener.onLinkLost(peer);
         }
     }
 
@@ -170,7 +170,7 @@
         }
         waiting.clear();
         if (!unsent.isEmpty()) {
-            listener.unsent(peer, unsent);
+            listener.onUnsent(peer, unsent);
         }
     }
 
@@ -185,7 +185,7 @@
         } else if (opening && waiting.size() < MOST_WAITING_CALLS) {
             waiting.add(frame);
         } else {
-            timers.soon(() -> listener.unsent(peer, List.of(call)));
+            timers.execute(() -> listener.onUnsent(peer, List.of(call)));
         }
     }
 
@@ -250,7 +250,7 @@
     private void watch() {
         if (!watching) {
             watching = true;
-            timers.after(WATCH_MILLISECONDS, this::look);
+            timers.schedule(WATCH_MILLISECONDS, this::look);
         }
     }
 
@@ -288,19 +288,19 @@
             case HELLO -> onHello(frame.getHello());
             case ANSWER -> {
                 awaited.remove(frame.getAnswer().getSequence());
-                listener.outcomes(peer).answered(frame.getAnswer());
+                listener.outcomeListener(peer).onAnswered(frame.getAnswer());
             }
             case REFUSAL -> {
                 awaited.remove(frame.getRefusal().getSequence());
-                listener.outcomes(peer).refused(frame.getRefusal());
+                listener.outcomeListener(peer).onRefused(frame.getRefusal());
             }
             case FAILURE -> {
                 awaited.remove(frame.getFailure().getSequence());
-                listener.outcomes(peer).failed(frame.getFailure());
+                listener.outcomeListener(peer).onFailed(frame.getFailure());
             }
-            case SEALED -> listener.outcomes(peer).sealed(frame.getSealed());
-            case LOAD -> listener.outcomes(peer).load(frame.getLoad());
-            case FLEET_NEWS -> listener.news(frame.getFleetNews());
+            case SEALED -> listener.outcomeListener(peer).onSealed(frame.getSealed());
+            case LOAD -> listener.outcomeListener(peer).onLoad(frame.getLoad());
+            case FLEET_NEWS -> listener.onFleetNews(frame.getFleetNews());
             default -> {
                 // A pong, or a frame of a later version: a sign of life.
             }
@@ -311,7 +311,7 @@
         greeted = true;
         pause = LEAST_PAUSE_MILLISECONDS;
         targetIncarnation = hello.getIncarnation();
-        listener.greeted(peer, hello);
+        listener.onHello(peer, hello);
         if (channel != null) {
             waiting.forEach(this::write);
             waiting.clear();
--- a/relay/src/main/java/org/damaskmoor/relay/internal/log/BoundedEventLog.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/log/RateLimitedEventLog.java
@@ -14,7 +14,7 @@
  * for the output; each kind of event has at most {@link #MOST_LINES_PER_SECOND} lines a second;
  * what is left out is counted in a line of its own.
  */
-public final class BoundedEventLog implements EventLog {
+public final class RateLimitedEventLog implements EventLog {
     /** Lines of one kind in a second; enough to follow single requests in ordinary load. */
     private static final int MOST_LINES_PER_SECOND = 200;
 
@@ -35,7 +35,7 @@
     private long secondStartedAt;
     private volatile boolean closed;
 
-    public BoundedEventLog(Timers timers, PrintStream output) {
+    public RateLimitedEventLog(Timers timers, PrintStream output) {
         this.timers = timers;
         this.output = output;
         this.writer = new Thread(this::run, "log");
@@ -88,7 +88,7 @@
         }
         if (!flushPlanned) {
             flushPlanned = true;
-            timers.after(
+            timers.schedule(
                     BATCH_MILLISECONDS,
                     () -> {
                         flushPlanned = false;
--- a/relay/src/main/java/org/damaskmoor/relay/internal/metrics/RelayMetrics.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/metrics/RelayMetrics.java
@@ -32,7 +32,7 @@
     }
 
     /** Adds a duration to a histogram, in milliseconds. */
-    public void duration(String name, long milliseconds) {
+    public void recordDuration(String name, long milliseconds) {
         histogram(name).update(milliseconds);
     }
 
@@ -51,7 +51,7 @@
     }
 
     /** All metrics, one a line. */
-    public String text() {
+    public String render() {
         StringBuilder text = new StringBuilder();
         registry.getCounters()
                 .forEach((name, counter) -> line(text, name + "_total", counter.getCount()));
--- a/relay/src/main/java/org/damaskmoor/relay/internal/net/Addresses.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/net/Addresses.java
@@ -21,7 +21,7 @@
     }
 
     /** The address as HOST:PORT. */
-    public static String text(InetSocketAddress address) {
+    public static String format(InetSocketAddress address) {
         return address.getHostString() + ":" + address.getPort();
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/net/HeaderLists.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/net/ForwardedHeaders.java
@@ -8,11 +8,11 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import org.damaskmoor.platform.machines.HeaderNames;
+import org.damaskmoor.platform.protocol.HeaderNames;
 import org.damaskmoor.schema.mesh.HeaderField;
 
 /** Which headers are passed on. Thread-safe: pure functions. */
-public final class HeaderLists {
+public final class ForwardedHeaders {
     /** Headers that concern one connection, and the length, which each connection sets itself. */
     private static final Set<String> ONE_CONNECTION =
             Set.of(
@@ -40,15 +40,15 @@
     private static final Set<String> NOT_FOR_CALLERS =
             lowerCase(HeaderNames.UPSTREAM_LOAD, HeaderNames.REQUEST_ID);
 
-    private HeaderLists() {}
+    private ForwardedHeaders() {}
 
     /** The headers of a caller's request that the upstream gets as they are. */
-    public static List<HeaderField> request(HttpHeaders headers) {
+    public static List<HeaderField> ofRequest(HttpHeaders headers) {
         return fields(headers, SET_FOR_UPSTREAM);
     }
 
     /** The headers of an upstream's answer that the caller gets as they are. */
-    public static List<HeaderField> answer(HttpHeaders headers) {
+    public static List<HeaderField> ofAnswer(HttpHeaders headers) {
         return fields(headers, NOT_FOR_CALLERS);
     }
 
--- a/relay/src/main/java/org/damaskmoor/relay/internal/net/Listening.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/net/PortBinder.java
@@ -9,15 +9,15 @@
 import java.util.function.Consumer;
 
 /** Opens ports. Thread-safe: pure functions. */
-public final class Listening {
-    private Listening() {}
+public final class PortBinder {
+    private PortBinder() {}
 
     /**
      * Opens a port; fails with the address and the cause when it can't be opened.
      *
      * @param opened takes the listening channel, on the event loop
      */
-    public static CompletableFuture<Void> start(
+    public static CompletableFuture<Void> bind(
             ServerBootstrap bootstrap, InetSocketAddress address, Consumer<Channel> opened) {
         CompletableFuture<Void> started = new CompletableFuture<>();
         bootstrap
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/CallRunner.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/CallRunner.java
@@ -2,13 +2,13 @@
 
 import com.google.protobuf.ByteString;
 import java.util.concurrent.TimeUnit;
-import org.damaskmoor.core.once.HandOverResult;
-import org.damaskmoor.core.once.TargetLedger;
+import org.damaskmoor.core.atmostonce.HandOverResult;
+import org.damaskmoor.core.atmostonce.TargetLedger;
+import org.damaskmoor.core.queueing.AdmissionQueue;
+import org.damaskmoor.core.queueing.SlowdownDetector;
 import org.damaskmoor.core.upstream.UpstreamAnnouncement;
 import org.damaskmoor.core.upstream.UpstreamId;
-import org.damaskmoor.core.upstream.UpstreamRegister;
-import org.damaskmoor.core.waiting.SlowMoments;
-import org.damaskmoor.core.waiting.WaitingRoom;
+import org.damaskmoor.core.upstream.UpstreamTracker;
 import org.damaskmoor.relay.internal.time.Timers;
 import org.damaskmoor.schema.link.ForwardedAnswer;
 import org.damaskmoor.schema.mesh.RefusalReason;
@@ -26,28 +26,28 @@
     private static final int FIRST_SERVER_ERROR = 500;
 
     private final OpenCalls open;
-    private final WaitingRoom<TargetCall> room;
+    private final AdmissionQueue<TargetCall> room;
     private final TargetLedger ledger;
-    private final UpstreamRegister register;
-    private final UpstreamPool pool;
-    private final SpeedChecks speed;
-    private final UpstreamWatch watch;
-    private final TargetReplies replies;
-    private final TargetEvents events;
+    private final UpstreamTracker register;
+    private final UpstreamConnectionPool pool;
+    private final SlownessProbe speed;
+    private final UpstreamHealthMonitor watch;
+    private final TargetReplySender replies;
+    private final TargetCallbacks events;
     private final Timers timers;
     private final Runnable startNext;
-    private final CallLimit limit = new CallLimit();
+    private final UpstreamConcurrencyLimit limit = new UpstreamConcurrencyLimit();
 
     CallRunner(
             OpenCalls open,
-            WaitingRoom<TargetCall> room,
+            AdmissionQueue<TargetCall> room,
             TargetLedger ledger,
-            UpstreamRegister register,
-            UpstreamPool pool,
-            SpeedChecks speed,
-            UpstreamWatch watch,
-            TargetReplies replies,
-            TargetEvents events,
+            UpstreamTracker register,
+            UpstreamConnectionPool pool,
+            SlownessProbe speed,
+            UpstreamHealthMonitor watch,
+            TargetReplySender replies,
+            TargetCallbacks events,
             Timers timers,
             Runnable startNext) {
         this.open = open;
@@ -64,35 +64,35 @@
     }
 
     /** How many calls may run at once now. */
-    int limit() {
+    int concurrencyLimit() {
         int slots = register.current().map(UpstreamAnnouncement::slots).orElse(1);
-        return limit.at(slots, timers.now());
+        return limit.limitFor(slots, timers.now());
     }
 
     /** Hands over a call that the room has let go. */
     void handOver(TargetCall call) {
         long now = timers.now();
-        if (!register.mayRun(now)) {
-            room.abandoned();
+        if (!register.mayDispatch(now)) {
+            room.onAbandoned();
             open.refuse(call, RefusalReason.DRAINING, 0);
             return;
         }
         if (ledger.handOver(call.id, TimeUnit.MILLISECONDS.toNanos(now)) != HandOverResult.RUN) {
-            room.abandoned();
-            replies.refused(call, RefusalReason.DEADLINE_PASSED, 0);
+            room.onAbandoned();
+            replies.sendRefusal(call, RefusalReason.DEADLINE_PASSED, 0);
             open.remove(call);
             return;
         }
         call.startedAt = now;
-        SlowMoments slowness = speed.moments();
-        call.slownessAtStart = slowness.isKnown() ? slowness.last() : 0;
+        SlowdownDetector slowness = speed.slowdownDetector();
+        call.slownessAtStart = slowness.hasReading() ? slowness.lastReading() : 0;
         call.runningAtStart = room.running();
         UpstreamId upstream = register.current().get().id();
         call.sent =
                 pool.send(
                         call.call, upstream, call.deadlineAt, outcome -> onOutcome(call, outcome));
         call.deadlineTimer =
-                timers.after(
+                timers.schedule(
                         call.deadlineAt + ANSWER_GRACE_MILLISECONDS - now,
                         () -> onDeadlinePassed(call));
     }
@@ -101,10 +101,10 @@
         long now = timers.now();
         call.deadlineTimer.cancel();
         if (outcome instanceof UpstreamOutcome.Answered answered) {
-            answered.load().ifPresent(speed::hear);
+            answered.load().ifPresent(speed::onLoad);
             onAnswered(call, answered, now);
         } else if (outcome instanceof UpstreamOutcome.NotRun notRun) {
-            notRun.load().ifPresent(speed::hear);
+            notRun.load().ifPresent(speed::onLoad);
             onNotRun(call, notRun, now);
         } else if (outcome instanceof UpstreamOutcome.Failed failed) {
             onFailed(call, failed.detail());
@@ -115,51 +115,51 @@
     private void onAnswered(TargetCall call, UpstreamOutcome.Answered answered, long now) {
         long took = now - call.startedAt;
         boolean failed = answered.status() >= FIRST_SERVER_ERROR;
-        register.up();
-        room.ended((double) took);
+        register.markUp();
+        room.onAnswered((double) took);
         if (!failed) {
             limit.onAnswered(call, took);
         }
-        events.answered(call.fingerprint());
+        events.onAnswered(call.fingerprint());
         boolean failedBelow = failed && events.failedSince(call.startedAt);
-        ForwardedAnswer answer = replies.answer(call, answered, took, failedBelow);
+        ForwardedAnswer answer = replies.buildAnswer(call, answered, took, failedBelow);
         boolean kept = call.call.getNonIdempotent();
         ledger.answered(call.id, kept ? answer.toByteString() : ByteString.EMPTY);
         open.remove(call);
-        call.outcomes.answered(answer);
+        call.outcomes.onAnswered(answer);
     }
 
     private void onNotRun(TargetCall call, UpstreamOutcome.NotRun notRun, long now) {
-        room.abandoned();
+        room.onAbandoned();
         ledger.returned(call.id);
         switch (notRun.cause()) {
             case SHED -> {
                 limit.onShed(now);
-                room.limit(limit());
+                room.setLimit(concurrencyLimit());
                 open.refuse(call, RefusalReason.OVERLOADED, room.retryAfterMilliseconds());
             }
             case OTHER_UPSTREAM -> {
-                watch.down("another upstream has the address");
+                watch.markDown("another upstream has the address");
                 open.refuse(call, RefusalReason.STALE_INCARNATION, 0);
             }
             default -> {
-                watch.down("no connection");
+                watch.markDown("no connection");
                 open.refuse(call, RefusalReason.UPSTREAM_UNREACHABLE, 0);
             }
         }
     }
 
     private void onFailed(TargetCall call, String detail) {
-        room.abandoned();
+        room.onAbandoned();
         ledger.failed(call.id);
         open.remove(call);
-        replies.failed(call, detail);
+        replies.sendFailure(call, detail);
         watch.onFailure(call.fingerprint());
     }
 
     /** The upstream has not answered in time: it is not waited for any longer. */
     private void onDeadlinePassed(TargetCall call) {
-        if (!open.holds(call) || !call.isRunning()) {
+        if (!open.contains(call) || !call.isRunning()) {
             return;
         }
         call.sent.abandon();
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/KeptTime.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/KeepAliveTimeout.java
@@ -4,15 +4,15 @@
 import java.util.Locale;
 
 /** Reads how long an upstream keeps an idle connection. Thread-safe: pure functions. */
-final class KeptTime {
+final class KeepAliveTimeout {
     private static final String HEADER = "Keep-Alive";
     private static final String TIMEOUT = "timeout=";
     private static final long MILLISECONDS_PER_SECOND = 1000;
 
-    private KeptTime() {}
+    private KeepAliveTimeout() {}
 
     /** The time that the answer tells, in milliseconds, or the one known before. */
-    static long milliseconds(HttpResponse response, long otherwise) {
+    static long parseMilliseconds(HttpResponse response, long otherwise) {
         String text = response.headers().get(HEADER);
         if (text == null) {
             return otherwise;
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/OpenCalls.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/OpenCalls.java
@@ -5,8 +5,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import org.damaskmoor.core.atmostonce.TargetLedger;
 import org.damaskmoor.core.id.RequestId;
-import org.damaskmoor.core.once.TargetLedger;
 import org.damaskmoor.core.quarantine.RequestFingerprint;
 import org.damaskmoor.schema.mesh.RefusalReason;
 
@@ -17,10 +17,10 @@
  */
 final class OpenCalls {
     private final TargetLedger ledger;
-    private final TargetReplies replies;
+    private final TargetReplySender replies;
     private final Map<RequestId, TargetCall> calls = new HashMap<>();
 
-    OpenCalls(TargetLedger ledger, TargetReplies replies) {
+    OpenCalls(TargetLedger ledger, TargetReplySender replies) {
         this.ledger = ledger;
         this.replies = replies;
     }
@@ -29,7 +29,7 @@
         calls.put(call.id, call);
     }
 
-    boolean holds(TargetCall call) {
+    boolean contains(TargetCall call) {
         return calls.get(call.id) == call;
     }
 
@@ -51,7 +51,7 @@
     }
 
     /** The requests that the upstream runs. */
-    Collection<RequestFingerprint> running() {
+    Collection<RequestFingerprint> runningRequests() {
         List<RequestFingerprint> running = new ArrayList<>();
         for (TargetCall call : calls.values()) {
             if (call.isRunning()) {
@@ -65,6 +65,6 @@
     void refuse(TargetCall call, RefusalReason reason, long retryAfterMilliseconds) {
         ledger.refuse(call.id);
         remove(call);
-        replies.refused(call, reason, retryAfterMilliseconds);
+        replies.sendRefusal(call, reason, retryAfterMilliseconds);
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/RecentFailures.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/RecentFailures.java
@@ -29,7 +29,7 @@
     }
 
     /** The requests of the last moment, in a list of the caller's own. */
-    List<RequestFingerprint> since(long now) {
+    List<RequestFingerprint> recent(long now) {
         List<RequestFingerprint> recent = new ArrayList<>();
         for (Failure failure : failures) {
             if (now - failure.at <= MEMORY_MILLISECONDS) {
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/SpeedChecks.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/SlownessProbe.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
+import org.damaskmoor.core.queueing.SlowdownDetector;
 import org.damaskmoor.core.upstream.UpstreamLoad;
-import org.damaskmoor.core.waiting.SlowMoments;
 import org.damaskmoor.relay.internal.time.Timers;
 
 /**
@@ -14,14 +14,14 @@
  * <p>Confined to the event loop. Invariants: one question at a time, and no more in a second than
  * the bound; a call that waits for the word is offered once, also when none comes.
  */
-final class SpeedChecks {
-    private final UpstreamPool pool;
-    private final RateBound bound;
-    private final TargetEvents events;
+final class SlownessProbe {
+    private final UpstreamConnectionPool pool;
+    private final TokenBucket bound;
+    private final TargetCallbacks events;
     private final Timers timers;
     private final Consumer<TargetCall> offer;
     private final Runnable afterwards;
-    private final SlowMoments moments = new SlowMoments();
+    private final SlowdownDetector moments = new SlowdownDetector();
     private final List<TargetCall> unsure = new ArrayList<>();
     private boolean asking;
 
@@ -31,10 +31,10 @@
      * @param offer takes the calls that have waited for the word
      * @param afterwards runs after each word
      */
-    SpeedChecks(
-            UpstreamPool pool,
-            RateBound bound,
-            TargetEvents events,
+    SlownessProbe(
+            UpstreamConnectionPool pool,
+            TokenBucket bound,
+            TargetCallbacks events,
             Timers timers,
             Consumer<TargetCall> offer,
             Runnable afterwards) {
@@ -47,13 +47,13 @@
     }
 
     /** The speed of the VM, as far as it was told. */
-    SlowMoments moments() {
+    SlowdownDetector slowdownDetector() {
         return moments;
     }
 
     /** Takes a call until the speed is known; false when it is known or can't be asked for now. */
-    boolean postpone(TargetCall call) {
-        if (!isAskedFirst()) {
+    boolean deferUntilProbed(TargetCall call) {
+        if (!probeIfStale()) {
             return false;
         }
         unsure.add(call);
@@ -61,28 +61,28 @@
     }
 
     /** Whether the speed is asked for now, so that nothing should be started before the word. */
-    boolean isAskedFirst() {
-        return moments.isKnown() && !moments.isFresh(timers.now()) && ask();
+    boolean probeIfStale() {
+        return moments.hasReading() && !moments.isFresh(timers.now()) && probe();
     }
 
     /** Asks; false when that can't be done now. */
-    boolean ask() {
+    boolean probe() {
         if (asking) {
             return true;
         }
         String path = events.healthPath();
-        if (path.isEmpty() || !bound.tryTake(timers.now())) {
+        if (path.isEmpty() || !bound.tryAcquire(timers.now())) {
             return false;
         }
         asking = true;
-        pool.check(path, this::onWord);
+        pool.checkHealth(path, this::onWord);
         return true;
     }
 
     /** The upstream told its load with an answer. */
-    void hear(UpstreamLoad load) {
+    void onLoad(UpstreamLoad load) {
         if (load.slowness() > 0) {
-            moments.hear(load.slowness(), timers.now());
+            moments.onReading(load.slowness(), timers.now());
         }
     }
 
@@ -93,7 +93,7 @@
 
     private void onWord(Optional<UpstreamLoad> load) {
         asking = false;
-        load.ifPresent(this::hear);
+        load.ifPresent(this::onLoad);
         List<TargetCall> waited = List.copyOf(unsure);
         unsure.clear();
         waited.forEach(offer);
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetCall.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetCall.java
@@ -2,8 +2,8 @@
 
 import org.damaskmoor.core.id.RequestId;
 import org.damaskmoor.core.quarantine.RequestFingerprint;
-import org.damaskmoor.core.waiting.WaitingCall;
-import org.damaskmoor.relay.internal.link.CallOutcomes;
+import org.damaskmoor.core.queueing.QueuedCall;
+import org.damaskmoor.relay.internal.link.CallOutcomeListener;
 import org.damaskmoor.relay.internal.time.Timers;
 import org.damaskmoor.schema.link.ForwardedCall;
 
@@ -14,14 +14,14 @@
     final long arrivedAt;
     final long deadlineAt;
     private RequestFingerprint fingerprint;
-    CallOutcomes outcomes;
-    UpstreamPool.Sent sent;
+    CallOutcomeListener outcomes;
+    UpstreamConnectionPool.Sent sent;
     Timers.Cancellation deadlineTimer = () -> {};
     long startedAt;
     double slownessAtStart;
     int runningAtStart;
 
-    TargetCall(RequestId id, ForwardedCall call, CallOutcomes outcomes, long now) {
+    TargetCall(RequestId id, ForwardedCall call, CallOutcomeListener outcomes, long now) {
         this.id = id;
         this.call = call;
         this.outcomes = outcomes;
@@ -42,8 +42,8 @@
         return fingerprint;
     }
 
-    WaitingCall<TargetCall> waiting() {
-        return new WaitingCall<>(
+    QueuedCall<TargetCall> toWaitingCall() {
+        return new QueuedCall<>(
                 this,
                 call.getPriority(),
                 arrivedAt + call.getObjectiveMilliseconds(),
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetDesk.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetCallHandler.java
@@ -7,21 +7,21 @@
 import java.util.List;
 import java.util.OptionalLong;
 import java.util.concurrent.TimeUnit;
+import org.damaskmoor.core.atmostonce.AcceptanceResult;
+import org.damaskmoor.core.atmostonce.CallKey;
+import org.damaskmoor.core.atmostonce.TargetLedger;
 import org.damaskmoor.core.id.Incarnation;
 import org.damaskmoor.core.id.RequestId;
-import org.damaskmoor.core.once.AcceptanceResult;
-import org.damaskmoor.core.once.CallKey;
-import org.damaskmoor.core.once.TargetLedger;
 import org.damaskmoor.core.quarantine.RequestFingerprint;
+import org.damaskmoor.core.queueing.AdmissionQueue;
+import org.damaskmoor.core.queueing.QueueDecision;
+import org.damaskmoor.core.queueing.SlowdownDetector;
 import org.damaskmoor.core.upstream.UpstreamAnnouncement;
 import org.damaskmoor.core.upstream.UpstreamId;
-import org.damaskmoor.core.upstream.UpstreamRegister;
-import org.damaskmoor.core.upstream.UpstreamRegister.Change;
-import org.damaskmoor.core.waiting.SlowMoments;
-import org.damaskmoor.core.waiting.Verdict;
-import org.damaskmoor.core.waiting.WaitingRoom;
-import org.damaskmoor.relay.internal.link.CallOutcomes;
-import org.damaskmoor.relay.internal.link.EntryName;
+import org.damaskmoor.core.upstream.UpstreamTracker;
+import org.damaskmoor.core.upstream.UpstreamTracker.Change;
+import org.damaskmoor.relay.internal.link.CallOutcomeListener;
+import org.damaskmoor.relay.internal.link.EntryId;
 import org.damaskmoor.relay.internal.log.EventLog;
 import org.damaskmoor.relay.internal.time.Timers;
 import org.damaskmoor.schema.link.CallCancel;
@@ -40,7 +40,7 @@
  * refused call was not run by the upstream and never will be; no call is handed over after the
  * drain time of an upstream that said that it leaves.
  */
-public final class TargetDesk {
+public final class TargetCallHandler {
     /** How long an ended call is remembered: longer than any link takes to be found lost. */
     private static final long REMEMBERED_MILLISECONDS = 30_000;
 
@@ -50,28 +50,28 @@
     private static final double PERCENT = 100;
 
     private final Incarnation incarnation;
-    private final UpstreamRegister register;
+    private final UpstreamTracker register;
     private final TargetLedger ledger;
     private final Timers timers;
     private final EventLog log;
-    private final TargetEvents events;
-    private final SpeedChecks speed;
+    private final TargetCallbacks events;
+    private final SlownessProbe speed;
     private final CallRunner runner;
-    private final LoadGauge gauge;
-    private final TargetReplies replies;
-    private final WaitingRoom<TargetCall> room = new WaitingRoom<>();
+    private final TargetLoadReporter gauge;
+    private final TargetReplySender replies;
+    private final AdmissionQueue<TargetCall> room = new AdmissionQueue<>();
     private final OpenCalls open;
     private boolean looking;
 
-    public TargetDesk(
+    public TargetCallHandler(
             Incarnation incarnation,
-            UpstreamRegister register,
+            UpstreamTracker register,
             TargetLedger ledger,
             EventLoop loop,
             InetSocketAddress upstream,
             Timers timers,
             EventLog log,
-            TargetEvents events,
+            TargetCallbacks events,
             double checksPerSecond) {
         this.incarnation = incarnation;
         this.register = register;
@@ -79,14 +79,14 @@
         this.timers = timers;
         this.log = log;
         this.events = events;
-        this.gauge = new LoadGauge(register, room);
-        this.replies = new TargetReplies(timers, log, this::load);
+        this.gauge = new TargetLoadReporter(register, room);
+        this.replies = new TargetReplySender(timers, log, this::load);
         this.open = new OpenCalls(ledger, replies);
-        UpstreamPool pool = new UpstreamPool(loop, upstream, timers);
+        UpstreamConnectionPool pool = new UpstreamConnectionPool(loop, upstream, timers);
         this.speed =
-                new SpeedChecks(
+                new SlownessProbe(
                         pool,
-                        new RateBound(checksPerSecond),
+                        new TokenBucket(checksPerSecond),
                         events,
                         timers,
                         this::offer,
@@ -99,7 +99,7 @@
                         register,
                         pool,
                         speed,
-                        new UpstreamWatch(register, pool, timers, log, new Watched()),
+                        new UpstreamHealthMonitor(register, pool, timers, log, new Watched()),
                         replies,
                         events,
                         timers,
@@ -107,10 +107,10 @@
     }
 
     /** The upstream announced itself. */
-    public void announce(UpstreamAnnouncement announcement) {
+    public void onAnnouncement(UpstreamAnnouncement announcement) {
         long now = timers.now();
-        Change change = register.announce(announcement, now);
-        room.limit(runner.limit());
+        Change change = register.onAnnouncement(announcement, now);
+        room.setLimit(runner.concurrencyLimit());
         if (change != Change.NONE) {
             log.event(change == Change.LEAVING ? "upstream-leaving" : "upstream-appeared")
                     .with("upstream", announcement.id())
@@ -119,34 +119,34 @@
                     .with("slots", announcement.slots())
                     .with("sequence", announcement.sequence())
                     .write();
-            events.upstreamChanged();
+            events.onUpstreamChanged();
         }
         if (change == Change.APPEARED) {
-            speed.ask();
+            speed.probe();
         }
     }
 
     /** The upstream said that it goes. */
-    public void leave(UpstreamId id, OptionalLong born) {
-        if (register.leave(id, born, timers.now()) != Change.NONE) {
+    public void onDeregistration(UpstreamId id, OptionalLong born) {
+        if (register.onLeave(id, born, timers.now()) != Change.NONE) {
             log.event("upstream-leaving").with("upstream", id).with("step", "deregister").write();
-            events.upstreamChanged();
+            events.onUpstreamChanged();
         }
     }
 
     /** Takes no new call from now on. */
-    public void stop() {
-        gauge.stopping();
-        events.upstreamChanged();
+    public void stopAccepting() {
+        gauge.markStopping();
+        events.onUpstreamChanged();
     }
 
     /** Forgets what has ended long ago. Call it every second or so. */
-    public void tick() {
+    public void expireLedger() {
         ledger.expire(nanoseconds(timers.now()));
     }
 
     /** The upstream's present incarnation and what is known of it. */
-    public UpstreamRegister register() {
+    public UpstreamTracker upstreamTracker() {
         return register;
     }
 
@@ -156,7 +156,7 @@
     }
 
     /** Takes a call. */
-    public void call(EntryName entry, ForwardedCall call, CallOutcomes outcomes) {
+    public void onCall(EntryId entry, ForwardedCall call, CallOutcomeListener outcomes) {
         long now = timers.now();
         RequestId id = requestId(entry, call.getSequence());
         TargetCall taken = new TargetCall(id, call, outcomes, now);
@@ -170,26 +170,27 @@
                         .result();
         switch (acceptance) {
             case ACCEPTED -> admit(taken);
-            case FULL -> replies.refused(taken, RefusalReason.NODE_BUSY, 0);
-            case DEADLINE_PASSED -> replies.refused(taken, RefusalReason.DEADLINE_PASSED, 0);
-            case SEALED_ALREADY -> replies.refused(taken, RefusalReason.SEALED_AFTER_SILENCE, 0);
-            default -> replies.failed(taken, "the call came twice");
+            case FULL -> replies.sendRefusal(taken, RefusalReason.NODE_BUSY, 0);
+            case DEADLINE_PASSED -> replies.sendRefusal(taken, RefusalReason.DEADLINE_PASSED, 0);
+            case SEALED_ALREADY ->
+                    replies.sendRefusal(taken, RefusalReason.SEALED_AFTER_SILENCE, 0);
+            default -> replies.sendFailure(taken, "the call came twice");
         }
     }
 
     private void admit(TargetCall call) {
         open.add(call);
-        if (register.isDown() || !speed.postpone(call)) {
+        if (register.isDown() || !speed.deferUntilProbed(call)) {
             offer(call);
         }
     }
 
     private void offer(TargetCall call) {
-        if (!open.holds(call)) {
+        if (!open.contains(call)) {
             return;
         }
         long now = timers.now();
-        SlowMoments slowness = speed.moments();
+        SlowdownDetector slowness = speed.slowdownDetector();
         RefusalReason unservable = unservable(call);
         if (unservable != null) {
             open.refuse(call, unservable, 0);
@@ -202,9 +203,9 @@
                         ? slowness.delayMilliseconds(
                                 call.call.getUsualMilliseconds(), expected, now)
                         : 0;
-        boolean mayStart = !(fresh && slowness.isSlow(now));
-        Verdict verdict = room.offer(call.waiting(), delay, mayStart, now);
-        room.takeDisplaced()
+        boolean mayStart = !(fresh && slowness.isInSlowdown(now));
+        QueueDecision verdict = room.offer(call.toWaitingCall(), delay, mayStart, now);
+        room.drainDisplaced()
                 .forEach(
                         displaced ->
                                 open.refuse(
@@ -239,18 +240,18 @@
 
     private void startNext() {
         long now = timers.now();
-        room.limit(runner.limit());
-        for (TargetCall hopeless : room.hopeless(now)) {
+        room.setLimit(runner.concurrencyLimit());
+        for (TargetCall hopeless : room.removeExpired(now)) {
             open.refuse(hopeless, RefusalReason.DEADLINE_TOO_SHORT, room.retryAfterMilliseconds());
         }
         if (room.waiting() == 0 || room.running() >= room.limit() || register.isDown()) {
             return;
         }
-        if (speed.isAskedFirst()) {
+        if (speed.probeIfStale()) {
             return;
         }
-        if (!speed.moments().isSlow(now)) {
-            for (TargetCall next = room.next(now); next != null; next = room.next(now)) {
+        if (!speed.slowdownDetector().isInSlowdown(now)) {
+            for (TargetCall next = room.poll(now); next != null; next = room.poll(now)) {
                 runner.handOver(next);
             }
         }
@@ -261,7 +262,7 @@
             return;
         }
         looking = true;
-        timers.after(
+        timers.schedule(
                 LOOK_MILLISECONDS,
                 () -> {
                     looking = false;
@@ -273,7 +274,7 @@
     }
 
     /** A call that was lost on its way is stopped for good, or its outcome follows. */
-    public void seal(EntryName entry, CallSeal seal, CallOutcomes outcomes) {
+    public void onSeal(EntryId entry, CallSeal seal, CallOutcomeListener outcomes) {
         long now = timers.now();
         RequestId id = requestId(entry, seal.getSequence());
         SealState state = SealState.OTHER_INCARNATION;
@@ -289,7 +290,7 @@
         } else if (call != null) {
             call.outcomes = outcomes;
         }
-        outcomes.sealed(
+        outcomes.onSealed(
                 CallSealed.newBuilder()
                         .setSequence(seal.getSequence())
                         .setAttempt(seal.getAttempt())
@@ -297,12 +298,13 @@
                         .build());
         log.event("call-sealed").with("request", id).with("state", state).write();
         if (call == null && state != SealState.SEALED) {
-            replies.known(seal, ledger.answer(id).orElse(ByteString.EMPTY), outcomes);
+            replies.sendRememberedOutcome(
+                    seal, ledger.answer(id).orElse(ByteString.EMPTY), outcomes);
         }
     }
 
     /** The entry no longer waits: what may be repeated is stopped, what may not goes on. */
-    public void cancel(EntryName entry, CallCancel cancel) {
+    public void onCancel(EntryId entry, CallCancel cancel) {
         TargetCall call = open.get(requestId(entry, cancel.getSequence()));
         if (call != null) {
             stopCall(call);
@@ -310,7 +312,7 @@
     }
 
     /** A link ended: nobody hears the outcomes of its calls any more. */
-    public void ended(CallOutcomes outcomes) {
+    public void onLinkClosed(CallOutcomeListener outcomes) {
         for (TargetCall call : open.all()) {
             if (call.outcomes == outcomes && !call.call.getNonIdempotent()) {
                 stopCall(call);
@@ -327,7 +329,7 @@
         } else if (!call.call.getNonIdempotent()) {
             call.deadlineTimer.cancel();
             call.sent.abandon();
-            room.abandoned();
+            room.onAbandoned();
             ledger.failed(call.id);
             open.remove(call);
             startNext();
@@ -336,32 +338,32 @@
 
     /** What the upstream's load is at this instant. */
     public TargetLoad load() {
-        return gauge.load(speed.moments(), timers.now());
+        return gauge.load(speed.slowdownDetector(), timers.now());
     }
 
-    private final class Watched implements UpstreamWatch.Listener {
+    private final class Watched implements UpstreamHealthMonitor.Listener {
         @Override
         public Collection<RequestFingerprint> running() {
-            return open.running();
+            return open.runningRequests();
         }
 
         @Override
         public void onDown(List<RequestFingerprint> suspects) {
-            for (TargetCall waiting : room.takeAll()) {
+            for (TargetCall waiting : room.drainAll()) {
                 open.refuse(waiting, RefusalReason.UPSTREAM_UNREACHABLE, 0);
             }
-            events.crashed(suspects);
-            events.upstreamChanged();
+            events.onUpstreamCrashed(suspects);
+            events.onUpstreamChanged();
         }
 
         @Override
         public void onUp() {
-            events.upstreamChanged();
+            events.onUpstreamChanged();
             startNext();
         }
     }
 
-    private static RequestId requestId(EntryName entry, long sequence) {
+    private static RequestId requestId(EntryId entry, long sequence) {
         return new RequestId(entry.node(), entry.incarnation(), sequence);
     }
 
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetEvents.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetCallbacks.java
@@ -4,9 +4,9 @@
 import org.damaskmoor.core.quarantine.RequestFingerprint;
 
 /** What a target tells the rest of its node. Confined to the event loop. */
-public interface TargetEvents {
+public interface TargetCallbacks {
     /** The upstream appeared, leaves, went down or came up. */
-    void upstreamChanged();
+    void onUpstreamChanged();
 
     /** Whether a request that began on this VM has failed since then. */
     boolean failedSince(long time);
@@ -15,10 +15,10 @@
     String healthPath();
 
     /** The upstream crashed while these requests ran. */
-    void crashed(Collection<RequestFingerprint> running);
+    void onUpstreamCrashed(Collection<RequestFingerprint> running);
 
     /** A request was answered. */
-    void answered(RequestFingerprint request);
+    void onAnswered(RequestFingerprint request);
 
     /** Whether a request is known to crash the upstreams that run it. */
     boolean isQuarantined(RequestFingerprint request);
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/LoadGauge.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetLoadReporter.java
@@ -1,26 +1,26 @@
 package org.damaskmoor.relay.internal.target;
 
-import org.damaskmoor.core.upstream.UpstreamRegister;
-import org.damaskmoor.core.waiting.SlowMoments;
-import org.damaskmoor.core.waiting.WaitingRoom;
+import org.damaskmoor.core.queueing.AdmissionQueue;
+import org.damaskmoor.core.queueing.SlowdownDetector;
+import org.damaskmoor.core.upstream.UpstreamTracker;
 import org.damaskmoor.schema.link.TargetLoad;
 import org.damaskmoor.schema.mesh.UpstreamState;
 
 /** Puts together what a target tells of its load. Confined to the event loop. */
-final class LoadGauge {
+final class TargetLoadReporter {
     private static final double PERCENT = 100;
 
-    private final UpstreamRegister register;
-    private final WaitingRoom<TargetCall> room;
+    private final UpstreamTracker register;
+    private final AdmissionQueue<TargetCall> room;
     private boolean stopping;
 
-    LoadGauge(UpstreamRegister register, WaitingRoom<TargetCall> room) {
+    TargetLoadReporter(UpstreamTracker register, AdmissionQueue<TargetCall> room) {
         this.register = register;
         this.room = room;
     }
 
     /** The node stops, and its upstream takes no new calls over it. */
-    void stopping() {
+    void markStopping() {
         stopping = true;
     }
 
@@ -28,18 +28,18 @@
         return stopping;
     }
 
-    TargetLoad load(SlowMoments slowness, long now) {
+    TargetLoad load(SlowdownDetector slowness, long now) {
         TargetLoad.Builder load =
                 TargetLoad.newBuilder()
                         .setRunning(room.running())
                         .setWaiting(room.waiting())
                         .setLimit(room.limit())
                         .setState(state());
-        if (slowness.isKnown()) {
-            load.setSlownessPercent((int) Math.round(slowness.last() * PERCENT))
-                    .setSteadySlownessPercent((int) Math.round(slowness.steady() * PERCENT))
+        if (slowness.hasReading()) {
+            load.setSlownessPercent((int) Math.round(slowness.lastReading() * PERCENT))
+                    .setSteadySlownessPercent((int) Math.round(slowness.baseline() * PERCENT))
                     .setSlownessAgeMilliseconds(
-                            (int) Math.min(Integer.MAX_VALUE, slowness.age(now)));
+                            (int) Math.min(Integer.MAX_VALUE, slowness.readingAge(now)));
         }
         return load.build();
     }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetReplies.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetReplySender.java
@@ -3,7 +3,7 @@
 import com.google.protobuf.ByteString;
 import com.google.protobuf.InvalidProtocolBufferException;
 import java.util.function.Supplier;
-import org.damaskmoor.relay.internal.link.CallOutcomes;
+import org.damaskmoor.relay.internal.link.CallOutcomeListener;
 import org.damaskmoor.relay.internal.log.EventLog;
 import org.damaskmoor.relay.internal.time.Timers;
 import org.damaskmoor.schema.link.CallSeal;
@@ -17,21 +17,21 @@
  * Tells entries how their calls have ended, and the log with what decided it. Confined to the event
  * loop.
  */
-final class TargetReplies {
+final class TargetReplySender {
     private static final double PERCENT = 100;
 
     private final Timers timers;
     private final EventLog log;
     private final Supplier<TargetLoad> load;
 
-    TargetReplies(Timers timers, EventLog log, Supplier<TargetLoad> load) {
+    TargetReplySender(Timers timers, EventLog log, Supplier<TargetLoad> load) {
         this.timers = timers;
         this.log = log;
         this.load = load;
     }
 
     /** The answer as entries get it. */
-    ForwardedAnswer answer(
+    ForwardedAnswer buildAnswer(
             TargetCall call, UpstreamOutcome.Answered answered, long took, boolean failedBelow) {
         log.event("call-answered")
                 .with("request", call.call.getCallerRequestId())
@@ -56,7 +56,7 @@
     }
 
     /** Tells that the call has not run here and never will. */
-    void refused(TargetCall call, RefusalReason reason, long retryAfterMilliseconds) {
+    void sendRefusal(TargetCall call, RefusalReason reason, long retryAfterMilliseconds) {
         TargetLoad now = load.get();
         log.event("call-refused")
                 .with("request", call.call.getCallerRequestId())
@@ -67,7 +67,7 @@
                 .with("slowness", now.getSlownessPercent())
                 .with("waited_ms", timers.now() - call.arrivedAt)
                 .write();
-        call.outcomes.refused(
+        call.outcomes.onRefused(
                 ForwardedRefusal.newBuilder()
                         .setSequence(call.call.getSequence())
                         .setAttempt(call.call.getAttempt())
@@ -78,7 +78,7 @@
     }
 
     /** Tells that it is unknown whether the call ran. */
-    void failed(TargetCall call, String detail) {
+    void sendFailure(TargetCall call, String detail) {
         long ran = call.startedAt == 0 ? 0 : timers.now() - call.startedAt;
         log.event("call-failed")
                 .with("request", call.call.getCallerRequestId())
@@ -86,7 +86,7 @@
                 .with("ran_ms", ran)
                 .with("detail", detail)
                 .write();
-        call.outcomes.failed(
+        call.outcomes.onFailed(
                 ForwardedFailure.newBuilder()
                         .setSequence(call.call.getSequence())
                         .setAttempt(call.call.getAttempt())
@@ -96,16 +96,16 @@
     }
 
     /** Tells the outcome of a call that has ended before its entry asked, as far as it is kept. */
-    void known(CallSeal seal, ByteString kept, CallOutcomes outcomes) {
+    void sendRememberedOutcome(CallSeal seal, ByteString kept, CallOutcomeListener outcomes) {
         if (!kept.isEmpty()) {
             try {
-                outcomes.answered(ForwardedAnswer.parseFrom(kept));
+                outcomes.onAnswered(ForwardedAnswer.parseFrom(kept));
                 return;
             } catch (InvalidProtocolBufferException unreadable) {
                 log.event("kept-answer-unreadable").with("call", seal.getSequence()).write();
             }
         }
-        outcomes.failed(
+        outcomes.onFailed(
                 ForwardedFailure.newBuilder()
                         .setSequence(seal.getSequence())
                         .setAttempt(seal.getAttempt())
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/RateBound.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/TokenBucket.java
@@ -1,7 +1,7 @@
 package org.damaskmoor.relay.internal.target;
 
 /** Bounds how often something is done, with bursts of a second's worth. Not thread-safe. */
-final class RateBound {
+final class TokenBucket {
     private static final double MILLISECONDS_PER_SECOND = 1000;
 
     /** Part of the bound that is used, so that rounding never breaks it. */
@@ -12,11 +12,11 @@
     private long filledAt;
     private boolean started;
 
-    RateBound(double perSecond) {
+    TokenBucket(double perSecond) {
         this.perSecond = perSecond * USED_PART;
     }
 
-    boolean tryTake(long now) {
+    boolean tryAcquire(long now) {
         if (!started) {
             started = true;
             filledAt = now;
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/CallLimit.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/UpstreamConcurrencyLimit.java
@@ -1,16 +1,16 @@
 package org.damaskmoor.relay.internal.target;
 
-import org.damaskmoor.core.waiting.CrowdingCurve;
+import org.damaskmoor.core.queueing.AdaptiveConcurrencyLimit;
 
 /**
  * How many calls the upstream gets at once: its slots, fewer where it serves fewer better, and
  * fewer for a while after it has shed calls. Confined to the event loop.
  */
-final class CallLimit {
+final class UpstreamConcurrencyLimit {
     /** Time after which a shed call lets one more run again. */
     private static final long SHED_MEMORY_MILLISECONDS = 1000;
 
-    private final CrowdingCurve crowding = new CrowdingCurve();
+    private final AdaptiveConcurrencyLimit crowding = new AdaptiveConcurrencyLimit();
     private int shed;
     private long shedAt;
 
@@ -24,16 +24,16 @@
     void onAnswered(TargetCall call, long took) {
         if (call.call.getUsualMilliseconds() > 0 && call.slownessAtStart > 0) {
             double usual = call.call.getUsualMilliseconds() * call.slownessAtStart;
-            crowding.answered(call.runningAtStart, took / usual);
+            crowding.onAnswered(call.runningAtStart, took / usual);
         }
     }
 
     /** The limit for an upstream with so many slots. */
-    int at(int slots, long now) {
+    int limitFor(int slots, long now) {
         if (shed > 0 && now - shedAt >= SHED_MEMORY_MILLISECONDS) {
             shed--;
             shedAt = now;
         }
-        return Math.max(1, crowding.best(slots) - Math.min(shed, slots / 2));
+        return Math.max(1, crowding.limit(slots) - Math.min(shed, slots / 2));
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/UpstreamConnection.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/UpstreamConnection.java
@@ -17,9 +17,9 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.damaskmoor.core.upstream.UpstreamLoad;
-import org.damaskmoor.platform.machines.HeaderNames;
-import org.damaskmoor.platform.machines.LoadDecoder;
-import org.damaskmoor.relay.internal.net.HeaderLists;
+import org.damaskmoor.platform.protocol.HeaderNames;
+import org.damaskmoor.platform.protocol.LoadDecoder;
+import org.damaskmoor.relay.internal.net.ForwardedHeaders;
 import org.damaskmoor.schema.mesh.HeaderField;
 
 /**
@@ -38,7 +38,7 @@
     private static final int TOO_MANY = 429;
     private static final int UNAVAILABLE = 503;
 
-    private final UpstreamPool pool;
+    private final UpstreamConnectionPool pool;
     private Channel channel;
     private Consumer<UpstreamOutcome> waiting;
     private String requestId = "";
@@ -51,7 +51,7 @@
     private long idleSince;
     private long keptMilliseconds;
 
-    UpstreamConnection(UpstreamPool pool, long keptMilliseconds) {
+    UpstreamConnection(UpstreamConnectionPool pool, long keptMilliseconds) {
         this.pool = pool;
         this.keptMilliseconds = keptMilliseconds;
     }
@@ -65,7 +65,7 @@
     }
 
     /** Sends a health check; its load comes once, empty when there is none. */
-    void check(FullHttpRequest request, Consumer<Optional<UpstreamLoad>> told) {
+    void checkHealth(FullHttpRequest request, Consumer<Optional<UpstreamLoad>> told) {
         checking = true;
         send("", request, outcome -> told.accept(load(outcome)));
     }
@@ -91,12 +91,12 @@
         return idleSince;
     }
 
-    void idle(long now) {
+    void markIdle(long now) {
         idleSince = now;
     }
 
     /** How long the upstream keeps it open while it is idle, in milliseconds. */
-    long keptMilliseconds() {
+    long keepAliveMilliseconds() {
         return keptMilliseconds;
     }
 
@@ -181,7 +181,7 @@
                         && HttpUtil.isKeepAlive(response)
                         && (HttpUtil.isContentLengthSet(response)
                                 || HttpUtil.isTransferEncodingChunked(response));
-        keptMilliseconds = KeptTime.milliseconds(response, keptMilliseconds);
+        keptMilliseconds = KeepAliveTimeout.parseMilliseconds(response, keptMilliseconds);
         UpstreamOutcome outcome = outcome(response);
         if (!reusable) {
             spoiled = true;
@@ -200,7 +200,7 @@
         if (mayRefuse && response.headers().contains(HeaderNames.NOT_RUN)) {
             return new UpstreamOutcome.NotRun(UpstreamOutcome.Cause.SHED, load);
         }
-        List<HeaderField> headers = HeaderLists.answer(response.headers());
+        List<HeaderField> headers = ForwardedHeaders.ofAnswer(response.headers());
         return new UpstreamOutcome.Answered(status, headers, body.toByteString(), load);
     }
 
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/UpstreamPool.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/UpstreamConnectionPool.java
@@ -30,7 +30,7 @@
  * repeated gets a connection that has just been used or is new, because the upstream may close an
  * idle one at the moment when the call is sent.
  */
-final class UpstreamPool {
+final class UpstreamConnectionPool {
     private static final int CONNECT_TIMEOUT_MILLISECONDS = 500;
     private static final int MOST_HEADER_BYTES = 64 * 1024;
     private static final int MOST_LINE_BYTES = 16 * 1024;
@@ -54,7 +54,7 @@
     private final ArrayDeque<UpstreamConnection> idle = new ArrayDeque<>();
     private final Set<UpstreamConnection> all = new HashSet<>();
 
-    UpstreamPool(EventLoop loop, InetSocketAddress address, Timers timers) {
+    UpstreamConnectionPool(EventLoop loop, InetSocketAddress address, Timers timers) {
         this.address = address;
         this.timers = timers;
         this.bootstrap =
@@ -97,7 +97,7 @@
     }
 
     /** Asks the upstream how it is; empty when it does not tell in time. */
-    void check(String path, Consumer<Optional<UpstreamLoad>> told) {
+    void checkHealth(String path, Consumer<Optional<UpstreamLoad>> told) {
         HealthCheck check = new HealthCheck(path, told);
         UpstreamConnection kept = takeIdle(false);
         if (kept != null) {
@@ -110,7 +110,7 @@
     }
 
     /** Opens a connection only to see whether the upstream takes one. */
-    void probe(Consumer<Boolean> reachable) {
+    void probeConnection(Consumer<Boolean> reachable) {
         bootstrap
                 .connect(address)
                 .addListener(
@@ -131,7 +131,7 @@
     }
 
     void release(UpstreamConnection connection) {
-        connection.idle(timers.now());
+        connection.markIdle(timers.now());
         idle.addLast(connection);
     }
 
@@ -156,7 +156,7 @@
         Iterator<UpstreamConnection> connections = List.copyOf(idle).iterator();
         while (connections.hasNext()) {
             UpstreamConnection connection = connections.next();
-            long kept = connection.keptMilliseconds() - KEPT_MARGIN_MILLISECONDS;
+            long kept = connection.keepAliveMilliseconds() - KEPT_MARGIN_MILLISECONDS;
             if (now - connection.idleSince() < kept) {
                 return;
             }
@@ -198,8 +198,8 @@
         }
 
         void on(UpstreamConnection connection) {
-            connection.check(UpstreamRequest.healthCheck(path, address), this::end);
-            timers.after(
+            connection.checkHealth(UpstreamRequestFactory.healthCheck(path, address), this::end);
+            timers.schedule(
                     CHECK_TIMEOUT_MILLISECONDS,
                     () -> {
                         if (!ended) {
@@ -253,7 +253,7 @@
         void on(UpstreamConnection chosen) {
             connection = chosen;
             long remaining = Math.max(1, deadlineAt - timers.now());
-            FullHttpRequest request = UpstreamRequest.of(call, upstream, remaining);
+            FullHttpRequest request = UpstreamRequestFactory.of(call, upstream, remaining);
             chosen.send(
                     call.getCallerRequestId(),
                     request,
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/UpstreamWatch.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/UpstreamHealthMonitor.java
@@ -3,7 +3,7 @@
 import java.util.Collection;
 import java.util.List;
 import org.damaskmoor.core.quarantine.RequestFingerprint;
-import org.damaskmoor.core.upstream.UpstreamRegister;
+import org.damaskmoor.core.upstream.UpstreamTracker;
 import org.damaskmoor.relay.internal.log.EventLog;
 import org.damaskmoor.relay.internal.time.Timers;
 
@@ -13,12 +13,12 @@
  * <p>Confined to the event loop. Invariant: one connection is tried at a time; an upstream that is
  * down is tried until it is up or another one announces itself.
  */
-final class UpstreamWatch {
+final class UpstreamHealthMonitor {
     /** How often an upstream that does not answer is tried. */
     private static final long PROBE_MILLISECONDS = 300;
 
-    private final UpstreamRegister register;
-    private final UpstreamPool pool;
+    private final UpstreamTracker register;
+    private final UpstreamConnectionPool pool;
     private final Timers timers;
     private final EventLog log;
     private final Listener listener;
@@ -37,9 +37,9 @@
         void onUp();
     }
 
-    UpstreamWatch(
-            UpstreamRegister register,
-            UpstreamPool pool,
+    UpstreamHealthMonitor(
+            UpstreamTracker register,
+            UpstreamConnectionPool pool,
             Timers timers,
             EventLog log,
             Listener listener) {
@@ -57,13 +57,13 @@
     }
 
     /** The upstream does not answer, or another one answers in its place. */
-    void down(String reason) {
+    void markDown(String reason) {
         if (register.isDown()) {
             return;
         }
-        register.down();
+        register.markDown();
         log.event("upstream-down").with("reason", reason).write();
-        List<RequestFingerprint> suspects = failures.since(timers.now());
+        List<RequestFingerprint> suspects = failures.recent(timers.now());
         suspects.addAll(listener.running());
         listener.onDown(suspects);
         probe();
@@ -74,7 +74,7 @@
             return;
         }
         probing = true;
-        pool.probe(this::onProbed);
+        pool.probeConnection(this::onProbed);
     }
 
     private void onProbed(boolean reachable) {
@@ -83,8 +83,8 @@
             up();
             return;
         }
-        down("no connection");
-        timers.after(
+        markDown("no connection");
+        timers.schedule(
                 PROBE_MILLISECONDS,
                 () -> {
                     probing = false;
@@ -94,7 +94,7 @@
 
     private void up() {
         if (register.isDown()) {
-            register.up();
+            register.markUp();
             log.event("upstream-up").write();
             listener.onUp();
         }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/UpstreamRequest.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/UpstreamRequestFactory.java
@@ -10,16 +10,16 @@
 import java.net.InetSocketAddress;
 import java.util.Set;
 import org.damaskmoor.core.upstream.UpstreamId;
-import org.damaskmoor.platform.machines.HeaderNames;
+import org.damaskmoor.platform.protocol.HeaderNames;
 import org.damaskmoor.schema.link.ForwardedCall;
 import org.damaskmoor.schema.mesh.HeaderField;
 
 /** Makes the request that an upstream gets for a call. Thread-safe: pure functions. */
-final class UpstreamRequest {
+final class UpstreamRequestFactory {
     /** Methods whose requests usually have a body, so that an empty one is told. */
     private static final Set<String> WITH_BODY = Set.of("POST", "PUT", "PATCH");
 
-    private UpstreamRequest() {}
+    private UpstreamRequestFactory() {}
 
     static FullHttpRequest healthCheck(String path, InetSocketAddress upstream) {
         FullHttpRequest request =
--- a/relay/src/main/java/org/damaskmoor/relay/internal/time/LoopTimers.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/time/EventLoopTimers.java
@@ -4,10 +4,10 @@
 import java.util.concurrent.TimeUnit;
 
 /** Timers of a Netty event loop. Confined to the event loop. */
-public final class LoopTimers implements Timers {
+public final class EventLoopTimers implements Timers {
     private final EventLoop loop;
 
-    public LoopTimers(EventLoop loop) {
+    public EventLoopTimers(EventLoop loop) {
         this.loop = loop;
     }
 
@@ -17,13 +17,13 @@
     }
 
     @Override
-    public Cancellation after(long milliseconds, Runnable task) {
+    public Cancellation schedule(long milliseconds, Runnable task) {
         var scheduled = loop.schedule(task, Math.max(0, milliseconds), TimeUnit.MILLISECONDS);
         return () -> scheduled.cancel(false);
     }
 
     @Override
-    public void soon(Runnable task) {
+    public void execute(Runnable task) {
         loop.execute(task);
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/time/Timers.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/time/Timers.java
@@ -12,8 +12,8 @@
     long now();
 
     /** Runs the task after a delay in milliseconds. */
-    Cancellation after(long milliseconds, Runnable task);
+    Cancellation schedule(long milliseconds, Runnable task);
 
     /** Runs the task soon, after what runs now. */
-    void soon(Runnable task);
+    void execute(Runnable task);
 }
--- a/relay/src/test/java/org/damaskmoor/relay/CallerSideTest.java
+++ b/relay/src/test/java/org/damaskmoor/relay/CallerProtocolTest.java
@@ -4,21 +4,21 @@
 
 import org.damaskmoor.platform.standin.RawCaller;
 import org.damaskmoor.platform.standin.UpstreamStandIn;
-import org.damaskmoor.relay.fixture.Fleet;
-import org.damaskmoor.relay.fixture.RelayUnderTest;
+import org.damaskmoor.relay.fixture.InProcessRelay;
+import org.damaskmoor.relay.fixture.TestFleet;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
 /** What callers may send, and what they get for it. */
-class CallerSideTest {
-    private Fleet fleet;
+class CallerProtocolTest {
+    private TestFleet fleet;
     private UpstreamStandIn upstream;
-    private RelayUnderTest relay;
+    private InProcessRelay relay;
 
     @BeforeEach
     void start() throws Exception {
-        fleet = new Fleet();
+        fleet = new TestFleet();
         upstream = new UpstreamStandIn();
         relay = fleet.relay("one", upstream);
     }
@@ -33,10 +33,10 @@
     @Test
     void should_serve_requests_that_were_sent_together_in_their_order() throws Exception {
         // given
-        upstream.script(
+        upstream.setScript(
                 (request, connection) -> {
                     Thread.sleep(request.id().equals("r1") ? 100 : 0);
-                    UpstreamStandIn.ok(request, connection);
+                    UpstreamStandIn.answerOk(request, connection);
                 });
 
         // when
@@ -44,8 +44,8 @@
             caller.send(RawCaller.get("/read/1", "r1") + RawCaller.get("/read/2", "r2"));
 
             // then
-            assertThat(caller.read().body()).isEqualTo("answer to r1");
-            assertThat(caller.read().body()).isEqualTo("answer to r2");
+            assertThat(caller.readAnswer().body()).isEqualTo("answer to r1");
+            assertThat(caller.readAnswer().body()).isEqualTo("answer to r2");
         }
     }
 
@@ -54,7 +54,7 @@
         // when
         try (RawCaller caller = relay.caller()) {
             RawCaller.Answer answer =
-                    caller.ask(
+                    caller.exchange(
                             "POST /order/1 HTTP/1.1\r\nHost: shop.example\r\nRequest-Id: r1\r\n"
                                     + "Transfer-Encoding: chunked\r\n\r\n"
                                     + "4\r\nhalf\r\n5\r\n more\r\n0\r\n\r\n");
@@ -70,10 +70,10 @@
         // when
         try (RawCaller caller = relay.caller()) {
             RawCaller.Answer interim =
-                    caller.ask(
+                    caller.exchange(
                             "POST /order/1 HTTP/1.1\r\nHost: shop.example\r\nRequest-Id: r1\r\n"
                                     + "Expect: 100-continue\r\nContent-Length: 4\r\n\r\n");
-            RawCaller.Answer answer = caller.ask("body");
+            RawCaller.Answer answer = caller.exchange("body");
 
             // then
             assertThat(interim.status()).isEqualTo(100);
@@ -86,7 +86,7 @@
     void should_never_pass_on_what_a_caller_says_of_its_own_service() throws Exception {
         // when
         try (RawCaller caller = relay.caller()) {
-            caller.ask(
+            caller.exchange(
                     "GET /read/1 HTTP/1.1\r\nHost: shop.example\r\nRequest-Id: r1\r\n"
                             + "Caller-Service: forged\r\nExpect-Instance: forged\r\n"
                             + "Connection: X-Hop\r\nX-Hop: 1\r\nX-End: 2\r\n\r\n");
@@ -120,8 +120,8 @@
         // when
         try (RawCaller caller = relay.caller()) {
             // then
-            assertThat(caller.ask(RawCaller.get("/nowhere/1", "r1")).status()).isEqualTo(404);
-            assertThat(caller.ask(RawCaller.get("/read/1", "r2")).status()).isEqualTo(200);
+            assertThat(caller.exchange(RawCaller.get("/nowhere/1", "r1")).status()).isEqualTo(404);
+            assertThat(caller.exchange(RawCaller.get("/read/1", "r2")).status()).isEqualTo(200);
         }
     }
 
@@ -129,17 +129,17 @@
     void should_find_a_request_in_the_log_by_its_id() throws Exception {
         // when
         try (RawCaller caller = relay.caller()) {
-            caller.ask(RawCaller.get("/read/1", "to-be-found"));
+            caller.exchange(RawCaller.get("/read/1", "to-be-found"));
         }
 
         // then
-        Fleet.await(() -> relay.log().contains("event=request-ended request=to-be-found"));
-        Fleet.await(() -> relay.log().contains("event=call-answered request=to-be-found"));
+        TestFleet.await(() -> relay.log().contains("event=request-ended request=to-be-found"));
+        TestFleet.await(() -> relay.log().contains("event=call-answered request=to-be-found"));
     }
 
     private void assertRefused(String request, int status) throws Exception {
         try (RawCaller caller = relay.caller()) {
-            assertThat(caller.ask(request).status()).isEqualTo(status);
+            assertThat(caller.exchange(request).status()).isEqualTo(status);
             assertThat(caller.isClosed()).isTrue();
         }
     }
--- a/relay/src/test/java/org/damaskmoor/relay/PlatformWordsTest.java
+++ b/relay/src/test/java/org/damaskmoor/relay/PlatformNameIsolationTest.java
@@ -11,7 +11,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-class PlatformWordsTest {
+class PlatformNameIsolationTest {
     /** Header names, paths and fields that the users' pages define. */
     private static final Pattern WORDS =
             Pattern.compile(
@@ -28,7 +28,7 @@
                 List.of("core", "relay", "mesh", "node", "operator", "report", "soak")) {
             try (Stream<Path> files = Files.walk(Path.of("..", module, "src", "main"))) {
                 files.filter(file -> file.toString().endsWith(".java"))
-                        .filter(PlatformWordsTest::holdsWord)
+                        .filter(PlatformNameIsolationTest::holdsWord)
                         .forEach(file -> strays.add(file.toString()));
             }
         }
--- a/relay/src/test/java/org/damaskmoor/relay/FleetTest.java
+++ b/relay/src/test/java/org/damaskmoor/relay/RelayFailureTest.java
@@ -5,33 +5,33 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
-import org.damaskmoor.platform.standin.ConfigurationText;
+import org.damaskmoor.platform.standin.ConfigurationJson;
 import org.damaskmoor.platform.standin.RawCaller;
 import org.damaskmoor.platform.standin.StoreStandIn;
 import org.damaskmoor.platform.standin.UpstreamStandIn;
-import org.damaskmoor.relay.fixture.Fleet;
-import org.damaskmoor.relay.fixture.RelayUnderTest;
+import org.damaskmoor.relay.fixture.InProcessRelay;
+import org.damaskmoor.relay.fixture.TestFleet;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
 /** Several relays with one store, while something fails. */
-class FleetTest {
-    private Fleet fleet;
+class RelayFailureTest {
+    private TestFleet fleet;
     private UpstreamStandIn upstream;
     private UpstreamStandIn unused;
-    private RelayUnderTest target;
-    private RelayUnderTest entry;
+    private InProcessRelay target;
+    private InProcessRelay entry;
 
     @BeforeEach
     void start() throws Exception {
-        fleet = new Fleet();
+        fleet = new TestFleet();
         upstream = new UpstreamStandIn();
         unused = new UpstreamStandIn();
         target = fleet.relay("target", upstream);
-        entry = new RelayUnderTest("entry", "other", unused.address(), fleet.store.address());
-        Fleet.await(entry::isReady);
-        Fleet.await(() -> entry.log().contains("event=member-added node=target"));
+        entry = new InProcessRelay("entry", "other", unused.address(), fleet.store.address());
+        TestFleet.await(entry::isReady);
+        TestFleet.await(() -> entry.log().contains("event=member-added node=target"));
     }
 
     @AfterEach
@@ -56,14 +56,14 @@
     @Test
     void should_put_a_newer_configuration_in_force_and_never_an_older_one() throws Exception {
         // given
-        String more = "," + ConfigurationText.route("more", "/more/", "idempotent");
+        String more = "," + ConfigurationJson.route("more", "/more/", "idempotent");
         assertThat(ask(RawCaller.get("/more/1", "r1")).status()).isEqualTo(404);
 
         // when
-        fleet.store.configure(ConfigurationText.of(7, more));
-        Fleet.await(() -> ask(RawCaller.get("/more/1", "r2")).status() == 200);
-        fleet.store.configure(ConfigurationText.of(3, ""));
-        Fleet.await(() -> entry.log().contains("event=configuration-older"));
+        fleet.store.putConfiguration(ConfigurationJson.of(7, more));
+        TestFleet.await(() -> ask(RawCaller.get("/more/1", "r2")).status() == 200);
+        fleet.store.putConfiguration(ConfigurationJson.of(3, ""));
+        TestFleet.await(() -> entry.log().contains("event=configuration-older"));
 
         // then
         assertThat(ask(RawCaller.get("/more/1", "r3")).status()).isEqualTo(200);
@@ -72,8 +72,8 @@
     @Test
     void should_keep_the_configuration_when_a_newer_one_is_invalid() throws Exception {
         // when
-        fleet.store.configure(ConfigurationText.of(9, ",{\"name\":\"broken\"}"));
-        Fleet.await(() -> entry.log().contains("event=configuration-rejected"));
+        fleet.store.putConfiguration(ConfigurationJson.of(9, ",{\"name\":\"broken\"}"));
+        TestFleet.await(() -> entry.log().contains("event=configuration-rejected"));
 
         // then
         assertThat(ask(RawCaller.get("/read/1", "r1")).status()).isEqualTo(200);
@@ -85,11 +85,11 @@
         fleet.store.compact();
 
         // when
-        String more = "," + ConfigurationText.route("more", "/more/", "idempotent");
-        fleet.store.configure(ConfigurationText.of(7, more));
+        String more = "," + ConfigurationJson.route("more", "/more/", "idempotent");
+        fleet.store.putConfiguration(ConfigurationJson.of(7, more));
 
         // then
-        Fleet.await(() -> ask(RawCaller.get("/more/1", "r2")).status() == 200);
+        TestFleet.await(() -> ask(RawCaller.get("/more/1", "r2")).status() == 200);
     }
 
     @Test
@@ -97,20 +97,20 @@
             throws Exception {
         // given a node for which the store is away from the start
         try (StoreStandIn away = new StoreStandIn()) {
-            away.mode(StoreStandIn.Mode.UNAVAILABLE);
+            away.setMode(StoreStandIn.Mode.UNAVAILABLE);
             InetSocketAddress links = new InetSocketAddress("127.0.0.3", target.links().getPort());
             List<String> seeds = List.of(target.links().getHostString() + ":1");
 
             // when
-            try (RelayUnderTest alone =
-                    new RelayUnderTest(
+            try (InProcessRelay alone =
+                    new InProcessRelay(
                             "alone", "other", unused.address(), away.address(), links, seeds)) {
-                Fleet.await(alone::isReady);
-                Fleet.await(() -> alone.log().contains("event=member-added node=target"));
+                TestFleet.await(alone::isReady);
+                TestFleet.await(() -> alone.log().contains("event=member-added node=target"));
 
                 // then
                 try (RawCaller caller = alone.caller()) {
-                    RawCaller.Answer answer = caller.ask(RawCaller.get("/read/1", "r1"));
+                    RawCaller.Answer answer = caller.exchange(RawCaller.get("/read/1", "r1"));
                     assertThat(answer.status()).isEqualTo(200);
                 }
             }
@@ -120,14 +120,14 @@
     @Test
     void should_say_at_once_when_the_store_is_back() throws Exception {
         // given
-        fleet.store.mode(StoreStandIn.Mode.UNAVAILABLE);
-        Fleet.await(() -> entry.log().contains("event=store-lost"));
+        fleet.store.setMode(StoreStandIn.Mode.UNAVAILABLE);
+        TestFleet.await(() -> entry.log().contains("event=store-lost"));
 
         // when
-        fleet.store.mode(StoreStandIn.Mode.NORMAL);
+        fleet.store.setMode(StoreStandIn.Mode.NORMAL);
 
         // then
-        Fleet.await(() -> entry.log().contains("event=store-regained"));
+        TestFleet.await(() -> entry.log().contains("event=store-regained"));
     }
 
     @Test
@@ -136,8 +136,8 @@
         ask(RawCaller.get("/read/1", "r0"));
 
         // when
-        fleet.store.mode(StoreStandIn.Mode.UNAVAILABLE);
-        Fleet.await(() -> entry.log().contains("event=store-lost"));
+        fleet.store.setMode(StoreStandIn.Mode.UNAVAILABLE);
+        TestFleet.await(() -> entry.log().contains("event=store-lost"));
 
         // then
         assertThat(ask(RawCaller.get("/read/1", "r1")).status()).isEqualTo(200);
@@ -155,7 +155,7 @@
 
         // then
         assertThat(answer.status()).isEqualTo(503);
-        assertThat(upstream.runs("r1")).isEqualTo(0);
+        assertThat(upstream.runCount("r1")).isEqualTo(0);
     }
 
     @Test
@@ -167,8 +167,8 @@
 
         // when a node with another service takes its address
         try (UpstreamStandIn reused = new UpstreamStandIn();
-                RelayUnderTest successor =
-                        new RelayUnderTest(
+                InProcessRelay successor =
+                        new InProcessRelay(
                                 "successor",
                                 "other",
                                 reused.address(),
@@ -176,7 +176,7 @@
                                 target.links(),
                                 List.of())) {
             successor.announce("i-9", 900, 1, "ready");
-            Fleet.await(() -> entry.log().contains("event=member-added node=successor"));
+            TestFleet.await(() -> entry.log().contains("event=member-added node=successor"));
             RawCaller.Answer answer = ask(RawCaller.get("/read/1", "r1"));
 
             // then
@@ -190,29 +190,29 @@
             throws Exception {
         // given the row of a node that has gone, with the address of the target
         ask(RawCaller.get("/read/1", "r0"));
-        upstream.script(
+        upstream.setScript(
                 (request, connection) -> {
                     Thread.sleep(600);
-                    UpstreamStandIn.ok(request, connection);
+                    UpstreamStandIn.answerOk(request, connection);
                 });
         CompletableFuture<RawCaller.Answer> slow =
                 CompletableFuture.supplyAsync(() -> askUnchecked(RawCaller.get("/read/1", "r1")));
-        Fleet.await(() -> upstream.runs("r1") == 1);
+        TestFleet.await(() -> upstream.runCount("r1") == 1);
 
         // when a node is listed under the same address and is called
-        try (RelayUnderTest ghost =
-                new RelayUnderTest(
+        try (InProcessRelay ghost =
+                new InProcessRelay(
                         "ghost",
                         "books",
                         upstream.address(),
                         fleet.store.address(),
-                        RelayUnderTest.free(),
+                        InProcessRelay.free(),
                         target.links(),
                         List.of())) {
             ghost.announce("i-1", 100, 1, "ready");
-            Fleet.await(() -> entry.log().contains("event=member-added node=ghost"));
+            TestFleet.await(() -> entry.log().contains("event=member-added node=ghost"));
         }
-        Fleet.await(
+        TestFleet.await(
                 () -> {
                     askUnchecked(RawCaller.get("/read/1", "r2"));
                     return entry.log().contains("event=address-reused node=ghost found=target");
@@ -225,15 +225,15 @@
     @Test
     void should_end_what_was_begun_in_a_planned_stop() throws Exception {
         // given
-        upstream.script(
+        upstream.setScript(
                 (request, connection) -> {
                     Thread.sleep(700);
-                    UpstreamStandIn.ok(request, connection);
+                    UpstreamStandIn.answerOk(request, connection);
                 });
         CompletableFuture<RawCaller.Answer> open =
                 CompletableFuture.supplyAsync(
                         () -> askUnchecked(RawCaller.post("/order/1", "r1", "body")));
-        Fleet.await(() -> upstream.runs("r1") == 1);
+        TestFleet.await(() -> upstream.runCount("r1") == 1);
 
         // when
         CompletableFuture<Void> stopped = target.stop();
@@ -247,12 +247,12 @@
     @Test
     void should_answer_what_is_still_open_at_the_end_of_a_planned_stop() throws Exception {
         // given
-        upstream.script((request, connection) -> Thread.sleep(10_000));
+        upstream.setScript((request, connection) -> Thread.sleep(10_000));
         long started = System.nanoTime();
         CompletableFuture<RawCaller.Answer> open =
                 CompletableFuture.supplyAsync(
                         () -> askUnchecked(RawCaller.post("/order/1", "r1", "body")));
-        Fleet.await(() -> upstream.runs("r1") == 1);
+        TestFleet.await(() -> upstream.runCount("r1") == 1);
 
         // when
         entry.stop().get();
@@ -266,37 +266,37 @@
     void should_run_once_and_tell_unknown_when_the_target_dies_with_a_non_idempotent_call()
             throws Exception {
         // given
-        upstream.script((request, connection) -> Thread.sleep(5000));
+        upstream.setScript((request, connection) -> Thread.sleep(5000));
         CompletableFuture<RawCaller.Answer> open =
                 CompletableFuture.supplyAsync(
                         () -> askUnchecked(RawCaller.post("/order/1", "r1", "body")));
-        Fleet.await(() -> upstream.runs("r1") == 1);
+        TestFleet.await(() -> upstream.runCount("r1") == 1);
 
         // when
         target.kill();
 
         // then
         assertThat(open.get().status()).isIn(List.of(502, 504));
-        assertThat(upstream.runs("r1")).isEqualTo(1);
+        assertThat(upstream.runCount("r1")).isEqualTo(1);
     }
 
     @Test
     void should_try_another_target_when_one_dies_with_an_idempotent_call() throws Exception {
         // given
         try (UpstreamStandIn second = new UpstreamStandIn();
-                RelayUnderTest other = fleet.relay("zother", second)) {
-            Fleet.await(() -> entry.log().contains("event=member-added node=zother"));
-            upstream.script((request, connection) -> Thread.sleep(5000));
-            second.script((request, connection) -> Thread.sleep(5000));
+                InProcessRelay other = fleet.relay("zother", second)) {
+            TestFleet.await(() -> entry.log().contains("event=member-added node=zother"));
+            upstream.setScript((request, connection) -> Thread.sleep(5000));
+            second.setScript((request, connection) -> Thread.sleep(5000));
             CompletableFuture<RawCaller.Answer> open =
                     CompletableFuture.supplyAsync(
                             () -> askUnchecked(RawCaller.get("/read/1", "r1")));
-            Fleet.await(() -> upstream.runs("r1") + second.runs("r1") == 1);
-            boolean atTarget = upstream.runs("r1") == 1;
+            TestFleet.await(() -> upstream.runCount("r1") + second.runCount("r1") == 1);
+            boolean atTarget = upstream.runCount("r1") == 1;
 
             // when
-            upstream.script(UpstreamStandIn::ok);
-            second.script(UpstreamStandIn::ok);
+            upstream.setScript(UpstreamStandIn::answerOk);
+            second.setScript(UpstreamStandIn::answerOk);
             (atTarget ? target : other).kill();
 
             // then
@@ -307,20 +307,20 @@
     @Test
     void should_remove_its_record_when_its_upstream_has_gone_for_good() throws Exception {
         // given
-        Fleet.await(() -> fleet.store.holds("members", "target"));
+        TestFleet.await(() -> fleet.store.containsRow("members", "target"));
 
         // when
         target.post("/v1/Instances.Deregister/i-1", "{\"born\":100}");
         target.stop().get();
 
         // then
-        Fleet.await(() -> !fleet.store.holds("members", "target"));
-        Fleet.await(() -> entry.log().contains("event=member-removed node=target"));
+        TestFleet.await(() -> !fleet.store.containsRow("members", "target"));
+        TestFleet.await(() -> entry.log().contains("event=member-removed node=target"));
     }
 
     private RawCaller.Answer ask(String request) throws Exception {
         try (RawCaller caller = entry.caller()) {
-            return caller.ask(request);
+            return caller.exchange(request);
         }
     }
 
--- a/relay/src/test/java/org/damaskmoor/relay/UpstreamSideTest.java
+++ b/relay/src/test/java/org/damaskmoor/relay/UpstreamProtocolTest.java
@@ -4,21 +4,21 @@
 
 import org.damaskmoor.platform.standin.RawCaller;
 import org.damaskmoor.platform.standin.UpstreamStandIn;
-import org.damaskmoor.relay.fixture.Fleet;
-import org.damaskmoor.relay.fixture.RelayUnderTest;
+import org.damaskmoor.relay.fixture.InProcessRelay;
+import org.damaskmoor.relay.fixture.TestFleet;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
 /** What upstreams may send, and what callers may get for it. */
-class UpstreamSideTest {
-    private Fleet fleet;
+class UpstreamProtocolTest {
+    private TestFleet fleet;
     private UpstreamStandIn upstream;
-    private RelayUnderTest relay;
+    private InProcessRelay relay;
 
     @BeforeEach
     void start() throws Exception {
-        fleet = new Fleet();
+        fleet = new TestFleet();
         upstream = new UpstreamStandIn();
         relay = fleet.relay("one", upstream);
     }
@@ -50,7 +50,7 @@
     @Test
     void should_skip_an_extra_answer_that_comes_with_the_first() throws Exception {
         // given
-        upstream.script(
+        upstream.setScript(
                 (request, connection) -> {
                     String answer = UpstreamStandIn.answer(request.id(), 200, "of " + request.id());
                     connection.send(answer + answer);
@@ -65,7 +65,7 @@
     @Test
     void should_skip_an_extra_answer_that_comes_in_the_place_of_the_next() throws Exception {
         // given
-        upstream.script(
+        upstream.setScript(
                 (request, connection) -> {
                     String answer = UpstreamStandIn.answer(request.id(), 200, "of " + request.id());
                     connection.send(answer);
@@ -83,11 +83,11 @@
     @Test
     void should_skip_interim_answers() throws Exception {
         // given
-        upstream.script(
+        upstream.setScript(
                 (request, connection) -> {
                     connection.send("HTTP/1.1 100 Continue\r\n\r\n");
                     connection.send("HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n");
-                    UpstreamStandIn.ok(request, connection);
+                    UpstreamStandIn.answerOk(request, connection);
                 });
 
         // when, then
@@ -97,7 +97,7 @@
     @Test
     void should_not_pass_on_an_answer_that_was_cut_off() throws Exception {
         // given
-        upstream.script(
+        upstream.setScript(
                 (request, connection) -> {
                     connection.send(
                             "HTTP/1.1 200 OK\r\nRequest-Id: "
@@ -108,13 +108,13 @@
 
         // when, then
         assertThat(ask(RawCaller.post("/order/1", "r1", "body")).status()).isEqualTo(502);
-        assertThat(upstream.runs("r1")).isEqualTo(1);
+        assertThat(upstream.runCount("r1")).isEqualTo(1);
     }
 
     @Test
     void should_pass_on_an_answer_without_length_that_ends_with_its_connection() throws Exception {
         // given
-        upstream.script(
+        upstream.setScript(
                 (request, connection) -> {
                     connection.send(
                             "HTTP/1.1 200 OK\r\nRequest-Id: " + request.id() + "\r\n\r\nall of it");
@@ -128,7 +128,7 @@
     @Test
     void should_not_pass_on_an_answer_without_length_that_was_reset() throws Exception {
         // given
-        upstream.script(
+        upstream.setScript(
                 (request, connection) -> {
                     connection.send(
                             "HTTP/1.1 200 OK\r\nRequest-Id: " + request.id() + "\r\n\r\nhalf");
@@ -143,7 +143,7 @@
     @Test
     void should_not_pass_on_bytes_that_are_no_answer() throws Exception {
         // given
-        upstream.script(
+        upstream.setScript(
                 (request, connection) -> {
                     connection.send("\u0001\u0002 nonsense\r\n\r\n");
                     connection.close();
@@ -156,7 +156,7 @@
     @Test
     void should_tell_not_run_when_the_upstream_says_so() throws Exception {
         // given
-        upstream.script(
+        upstream.setScript(
                 (request, connection) ->
                         connection.send(
                                 "HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nRequest-Id: "
@@ -174,12 +174,12 @@
     @Test
     void should_not_take_a_late_refusal_of_another_request_for_its_own() throws Exception {
         // given
-        upstream.script(
+        upstream.setScript(
                 (request, connection) -> {
                     connection.send(
                             "HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nRequest-Id: former\r\n"
                                     + "Content-Length: 0\r\n\r\n");
-                    UpstreamStandIn.ok(request, connection);
+                    UpstreamStandIn.answerOk(request, connection);
                 });
 
         // when, then
@@ -189,7 +189,7 @@
     @Test
     void should_answer_at_the_timeout_of_the_route_when_the_upstream_is_silent() throws Exception {
         // given
-        upstream.script((request, connection) -> Thread.sleep(10_000));
+        upstream.setScript((request, connection) -> Thread.sleep(10_000));
         long started = System.nanoTime();
 
         // when
@@ -206,20 +206,20 @@
     void should_run_a_request_that_may_not_be_repeated_once_although_its_answer_is_lost()
             throws Exception {
         // given
-        upstream.script((request, connection) -> connection.reset());
+        upstream.setScript((request, connection) -> connection.reset());
 
         // when
         RawCaller.Answer answer = ask(RawCaller.post("/order/1", "r1", "body"));
 
         // then
         assertThat(answer.status()).isEqualTo(502);
-        assertThat(upstream.runs("r1")).isEqualTo(1);
+        assertThat(upstream.runCount("r1")).isEqualTo(1);
     }
 
     @Test
     void should_hand_nothing_to_another_upstream_that_has_the_address() throws Exception {
         // given
-        upstream.script(
+        upstream.setScript(
                 (request, connection) ->
                         connection.send(
                                 "HTTP/1.1 421 Misdirected Request\r\nInstance-Id: i-2\r\n"
@@ -233,7 +233,7 @@
     void should_drop_the_request_at_the_upstream_when_the_caller_leaves() throws Exception {
         // given
         java.util.concurrent.CountDownLatch dropped = new java.util.concurrent.CountDownLatch(1);
-        upstream.script(
+        upstream.setScript(
                 (request, connection) -> {
                     if (connection.socket().getInputStream().read() < 0) {
                         dropped.countDown();
@@ -243,7 +243,7 @@
         // when
         try (RawCaller caller = relay.caller()) {
             caller.send(RawCaller.get("/read/1", "r1"));
-            Fleet.await(() -> upstream.runs("r1") == 1);
+            TestFleet.await(() -> upstream.runCount("r1") == 1);
         }
 
         // then
@@ -254,18 +254,18 @@
     void should_start_nothing_in_a_slow_moment_of_the_vm() throws Exception {
         // given
         ask(RawCaller.get("/read/1", "first"));
-        upstream.load("0,0,9,100");
+        upstream.setLoad("0,0,9,100");
         ask(RawCaller.get("/read/1", "second"));
-        upstream.load("0,0,9,500");
+        upstream.setLoad("0,0,9,500");
         Thread.sleep(50);
 
         // when
         try (RawCaller caller = relay.caller()) {
             caller.send(RawCaller.get("/read/1", "held"));
             Thread.sleep(100);
-            long startedWhileSlow = upstream.runs("held");
-            upstream.load("0,0,9,100");
-            RawCaller.Answer answer = caller.read();
+            long startedWhileSlow = upstream.runCount("held");
+            upstream.setLoad("0,0,9,100");
+            RawCaller.Answer answer = caller.readAnswer();
 
             // then
             assertThat(startedWhileSlow).isEqualTo(0);
@@ -275,7 +275,7 @@
 
     private RawCaller.Answer ask(String request) throws Exception {
         try (RawCaller caller = relay.caller()) {
-            return caller.ask(request);
+            return caller.exchange(request);
         }
     }
 }
--- a/report/src/main/java/org/damaskmoor/report/BurnCalculator.java
+++ b/report/src/main/java/org/damaskmoor/report/BurnRateCalculator.java
@@ -15,7 +15,7 @@
  * bad, by weight. A burn rate of 1 uses the budget up in exactly the objective's period. Stateless
  * and thread-safe.
  */
-public final class BurnCalculator {
+public final class BurnRateCalculator {
     private static final double PARTS_PER_MILLION = 1_000_000;
     private static final double PAGE_FAST_RATE = 14.4;
     private static final double PAGE_SLOW_RATE = 6;
@@ -78,7 +78,7 @@
             long p99Milliseconds,
             String alert) {}
 
-    private BurnCalculator() {}
+    private BurnRateCalculator() {}
 
     /** The state of every objective of the services at the end of {@code nowEpochMinute}. */
     public static List<Burn> calculate(
--- a/report/src/main/java/org/damaskmoor/report/ReportMain.java
+++ b/report/src/main/java/org/damaskmoor/report/ReportMain.java
@@ -10,8 +10,8 @@
 import java.util.List;
 import java.util.Optional;
 import org.damaskmoor.platform.PlatformException;
-import org.damaskmoor.report.internal.BadOptionException;
 import org.damaskmoor.report.internal.BurnCommand;
+import org.damaskmoor.report.internal.InvalidOptionException;
 import org.damaskmoor.report.internal.RefusalsCommand;
 import org.damaskmoor.report.internal.ReportCommand;
 
@@ -48,7 +48,7 @@
             }
             cli.parse(arguments).run(out, now);
             return 0;
-        } catch (ParseException | BadOptionException wrong) {
+        } catch (ParseException | InvalidOptionException wrong) {
             err.println("damaskmoor-report: " + wrong.getMessage() + " See --help.");
             return WRONG_OPTION;
         } catch (IOException failure) {
@@ -71,7 +71,7 @@
     }
 
     private static int report(RuntimeException failure, PrintStream err) {
-        Optional<PlatformException> platform = PlatformException.in(failure);
+        Optional<PlatformException> platform = PlatformException.findIn(failure);
         err.println(
                 "damaskmoor-report: "
                         + platform.map(Throwable::getMessage).orElse(String.valueOf(failure)));
--- a/report/src/main/java/org/damaskmoor/report/internal/BurnCommand.java
+++ b/report/src/main/java/org/damaskmoor/report/internal/BurnCommand.java
@@ -13,11 +13,11 @@
 import org.damaskmoor.platform.Row;
 import org.damaskmoor.platform.TableService;
 import org.damaskmoor.report.AccountingReader;
-import org.damaskmoor.report.BurnCalculator;
-import org.damaskmoor.report.BurnCalculator.Burn;
-import org.damaskmoor.report.BurnCalculator.Window;
-import org.damaskmoor.report.internal.ReportPage.Plot;
-import org.damaskmoor.report.internal.ReportPage.Table;
+import org.damaskmoor.report.BurnRateCalculator;
+import org.damaskmoor.report.BurnRateCalculator.Burn;
+import org.damaskmoor.report.BurnRateCalculator.Window;
+import org.damaskmoor.report.internal.Report.Plot;
+import org.damaskmoor.report.internal.Report.Table;
 import org.damaskmoor.schema.accounting.RequestCount;
 import org.damaskmoor.schema.configuration.ServiceConfiguration;
 import org.damaskmoor.schema.configuration.VersionedConfiguration;
@@ -57,23 +57,23 @@
     private URI tableService;
 
     @Override
-    void check(Instant now) {
-        tableService = OptionChecks.url("--table-service-url", tableServiceUrl);
-        OptionChecks.name("--service", service);
-        lastEpochMinute = OptionChecks.epochMinute("--to", to, now.getEpochSecond() / 60);
+    void validateOptions(Instant now) {
+        tableService = OptionValidator.requireUrl("--table-service-url", tableServiceUrl);
+        OptionValidator.requireName("--service", service);
+        lastEpochMinute = OptionValidator.parseEpochMinute("--to", to, now.getEpochSecond() / 60);
     }
 
     @Override
-    ReportPage read(PlatformClient client, URI objectStore, Instant now) {
+    Report buildReport(PlatformClient client, URI objectStore, Instant now) {
         List<ServiceConfiguration> services = services(client.tableService(tableService));
         List<RequestCount> counts =
                 new AccountingReader(client.objectStore(objectStore))
                         .requests(
                                 lastEpochMinute - Window.THREE_DAYS.minutes() + 1,
                                 lastEpochMinute + 1);
-        List<Burn> burns = BurnCalculator.calculate(services, counts, lastEpochMinute);
+        List<Burn> burns = BurnRateCalculator.calculate(services, counts, lastEpochMinute);
         String title = "Service level burn at " + Instant.ofEpochSecond(lastEpochMinute * 60);
-        return new ReportPage(title, List.of(objectives(burns), rates(burns)), plots(burns));
+        return new Report(title, List.of(objectives(burns), rates(burns)), plots(burns));
     }
 
     private List<ServiceConfiguration> services(TableService tables) {
--- a/report/src/main/java/org/damaskmoor/report/internal/BadOptionException.java
+++ b/report/src/main/java/org/damaskmoor/report/internal/InvalidOptionException.java
@@ -1,10 +1,10 @@
 package org.damaskmoor.report.internal;
 
 /** A flag has a value that is not allowed. Immutable and thread-safe. */
-public final class BadOptionException extends RuntimeException {
+public final class InvalidOptionException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    public BadOptionException(String flag, String value, String allowed) {
+    public InvalidOptionException(String flag, String value, String allowed) {
         super(flag + " has the value <" + value + ">, but allowed is " + allowed + ".");
     }
 }
--- a/report/src/main/java/org/damaskmoor/report/internal/OptionChecks.java
+++ b/report/src/main/java/org/damaskmoor/report/internal/OptionValidator.java
@@ -7,16 +7,16 @@
 import java.util.List;
 
 /** Checks values of flags. Stateless and thread-safe. */
-final class OptionChecks {
+final class OptionValidator {
     private static final long MILLISECONDS_PER_MINUTE = 60_000;
     private static final int NAME_CHARACTERS = 128;
 
-    private OptionChecks() {}
+    private OptionValidator() {}
 
-    static URI url(String flag, String value) {
+    static URI requireUrl(String flag, String value) {
         String allowed = "a URL such as http://127.0.0.1:9001, with host and port";
         if (value == null || value.isEmpty()) {
-            throw new BadOptionException(flag, "", allowed);
+            throw new InvalidOptionException(flag, "", allowed);
         }
         try {
             URI url = new URI(value);
@@ -25,32 +25,33 @@
                 return url;
             }
         } catch (URISyntaxException malformed) {
-            throw new BadOptionException(flag, value, allowed);
+            throw new InvalidOptionException(flag, value, allowed);
         }
-        throw new BadOptionException(flag, value, allowed);
+        throw new InvalidOptionException(flag, value, allowed);
     }
 
-    static long epochMinute(String flag, String value, long otherwise) {
+    static long parseEpochMinute(String flag, String value, long otherwise) {
         if (value == null) {
             return otherwise;
         }
         try {
             return Math.floorDiv(Instant.parse(value).toEpochMilli(), MILLISECONDS_PER_MINUTE);
         } catch (DateTimeParseException malformed) {
-            throw new BadOptionException(flag, value, "an instant such as 2026-12-04T04:00:00Z");
+            throw new InvalidOptionException(
+                    flag, value, "an instant such as 2026-12-04T04:00:00Z");
         }
     }
 
-    static String oneOf(String flag, String value, List<String> allowed) {
+    static String requireOneOf(String flag, String value, List<String> allowed) {
         if (!allowed.contains(value)) {
-            throw new BadOptionException(flag, value, "one of " + String.join(", ", allowed));
+            throw new InvalidOptionException(flag, value, "one of " + String.join(", ", allowed));
         }
         return value;
     }
 
-    static String name(String flag, String value) {
+    static String requireName(String flag, String value) {
         if (value != null && (value.isBlank() || value.length() > NAME_CHARACTERS)) {
-            throw new BadOptionException(
+            throw new InvalidOptionException(
                     flag, value, "a name of 1 to " + NAME_CHARACTERS + " characters");
         }
         return value;
--- a/report/src/main/java/org/damaskmoor/report/internal/RefusalsCommand.java
+++ b/report/src/main/java/org/damaskmoor/report/internal/RefusalsCommand.java
@@ -16,8 +16,8 @@
 import org.damaskmoor.core.accounting.RefusalSummary.Line;
 import org.damaskmoor.platform.PlatformClient;
 import org.damaskmoor.report.AccountingReader;
-import org.damaskmoor.report.internal.ReportPage.Plot;
-import org.damaskmoor.report.internal.ReportPage.Table;
+import org.damaskmoor.report.internal.Report.Plot;
+import org.damaskmoor.report.internal.Report.Table;
 
 /** {@code damaskmoor-report refusals}. Not thread-safe. */
 @Command(name = "refusals", description = "Refusals of a time span by caller and reason.")
@@ -51,22 +51,22 @@
     private long toEpochMinute;
 
     @Override
-    void check(Instant now) {
+    void validateOptions(Instant now) {
         long nextMinute = now.getEpochSecond() / 60 + 1;
-        toEpochMinute = OptionChecks.epochMinute("--to", to, nextMinute);
+        toEpochMinute = OptionValidator.parseEpochMinute("--to", to, nextMinute);
         fromEpochMinute =
-                OptionChecks.epochMinute(
+                OptionValidator.parseEpochMinute(
                         "--from", from, toEpochMinute - Duration.ofHours(1).toMinutes());
         if (fromEpochMinute >= toEpochMinute) {
-            throw new BadOptionException(
+            throw new InvalidOptionException(
                     "--from", String.valueOf(from), "an instant at least a minute before --to");
         }
-        OptionChecks.name("--service", service);
-        OptionChecks.name("--caller", caller);
+        OptionValidator.requireName("--service", service);
+        OptionValidator.requireName("--caller", caller);
     }
 
     @Override
-    ReportPage read(PlatformClient client, URI objectStore, Instant now) {
+    Report buildReport(PlatformClient client, URI objectStore, Instant now) {
         RefusalSummary summary =
                 new AccountingReader(client.objectStore(objectStore))
                         .refusals(fromEpochMinute, toEpochMinute);
@@ -77,7 +77,7 @@
                         .toList();
         String title =
                 "Refusals from " + instant(fromEpochMinute) + " to " + instant(toEpochMinute);
-        return new ReportPage(
+        return new Report(
                 title,
                 List.of(totals(summary, lines), refusals(lines), gaps(summary), missing(summary)),
                 List.of(
--- a/report/src/main/java/org/damaskmoor/report/internal/ReportPage.java
+++ b/report/src/main/java/org/damaskmoor/report/internal/Report.java
@@ -9,7 +9,7 @@
  * @param tables its tables, in order
  * @param plots its plots, in order; only the HTML page shows them
  */
-record ReportPage(String title, List<Table> tables, List<Plot> plots) {
+record Report(String title, List<Table> tables, List<Plot> plots) {
     /**
      * A table.
      *
--- a/report/src/main/java/org/damaskmoor/report/internal/ReportCommand.java
+++ b/report/src/main/java/org/damaskmoor/report/internal/ReportCommand.java
@@ -46,21 +46,21 @@
         if (help != null && help.showHelpIfRequested()) {
             return;
         }
-        URI url = OptionChecks.url("--object-store-url", objectStoreUrl);
-        OptionChecks.oneOf("--output", output, List.of("text", "json", "html"));
+        URI url = OptionValidator.requireUrl("--object-store-url", objectStoreUrl);
+        OptionValidator.requireOneOf("--output", output, List.of("text", "json", "html"));
         Path target = file();
-        check(now);
-        ReportPage page;
+        validateOptions(now);
+        Report page;
         try (PlatformClient client =
                 new PlatformClient(PlatformClientLimits.defaults(), new SplittableRandom())) {
-            page = read(client, url, now);
+            page = buildReport(client, url, now);
         }
         write(render(page), target, out);
     }
 
     private Path file() {
         if (file == null) {
-            OptionChecks.oneOf("--output", output, List.of("text", "json"));
+            OptionValidator.requireOneOf("--output", output, List.of("text", "json"));
             return null;
         }
         try {
@@ -71,16 +71,16 @@
                 return path;
             }
         } catch (InvalidPathException malformed) {
-            throw new BadOptionException("--file", file, "a path of this file system");
+            throw new InvalidOptionException("--file", file, "a path of this file system");
         }
-        throw new BadOptionException("--file", file, "a file in a directory that exists");
+        throw new InvalidOptionException("--file", file, "a file in a directory that exists");
     }
 
-    private String render(ReportPage page) {
+    private String render(Report page) {
         return switch (output) {
-            case "json" -> Renderers.json(page);
-            case "html" -> Renderers.html(page);
-            default -> Renderers.text(page);
+            case "json" -> ReportRenderer.json(page);
+            case "html" -> ReportRenderer.html(page);
+            default -> ReportRenderer.text(page);
         };
     }
 
@@ -93,7 +93,7 @@
         }
     }
 
-    abstract void check(Instant now);
+    abstract void validateOptions(Instant now);
 
-    abstract ReportPage read(PlatformClient client, URI objectStore, Instant now);
+    abstract Report buildReport(PlatformClient client, URI objectStore, Instant now);
 }
--- a/report/src/main/java/org/damaskmoor/report/internal/Renderers.java
+++ b/report/src/main/java/org/damaskmoor/report/internal/ReportRenderer.java
@@ -11,20 +11,20 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.stream.Collectors;
-import org.damaskmoor.report.internal.ReportPage.Plot;
-import org.damaskmoor.report.internal.ReportPage.Table;
+import org.damaskmoor.report.internal.Report.Plot;
+import org.damaskmoor.report.internal.Report.Table;
 import org.knowm.xchart.BitmapEncoder;
 import org.knowm.xchart.CategoryChart;
 import org.knowm.xchart.CategoryChartBuilder;
 
 /** Writes a report as text, JSON or HTML. Stateless and thread-safe. */
-final class Renderers {
+final class ReportRenderer {
     private static final int PLOT_WIDTH = 900;
     private static final int PLOT_HEIGHT = 420;
 
-    private Renderers() {}
+    private ReportRenderer() {}
 
-    static String text(ReportPage page) {
+    static String text(Report page) {
         StringBuilder text = new StringBuilder(page.title()).append('\n');
         for (Table table : page.tables()) {
             text.append('\n').append(table.name()).append('\n');
@@ -63,7 +63,7 @@
                 : String.valueOf(value);
     }
 
-    static String json(ReportPage page) {
+    static String json(Report page) {
         Struct.Builder root = Struct.newBuilder();
         for (Table table : page.tables()) {
             ListValue.Builder rows = ListValue.newBuilder();
@@ -92,7 +92,7 @@
                 : Value.newBuilder().setStringValue(String.valueOf(value)).build();
     }
 
-    static String html(ReportPage page) {
+    static String html(Report page) {
         StringBuilder html = new StringBuilder();
         html.append("<!DOCTYPE html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>")
                 .append(escape(page.title()))
--- a/report/src/test/java/org/damaskmoor/report/AccountingReaderTest.java
+++ b/report/src/test/java/org/damaskmoor/report/AccountingReaderTest.java
@@ -5,18 +5,18 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import org.damaskmoor.core.accounting.EndedRequest;
+import org.damaskmoor.core.accounting.CompletedRequest;
 import org.damaskmoor.core.accounting.NamedObject;
 import org.damaskmoor.core.accounting.ObjectWriteQueue;
 import org.damaskmoor.core.accounting.RefusalGroup;
 import org.damaskmoor.core.accounting.RefusalObjects;
 import org.damaskmoor.core.accounting.RefusalSummary;
-import org.damaskmoor.core.accounting.RequestEnd;
 import org.damaskmoor.core.accounting.RequestFlusher;
+import org.damaskmoor.core.accounting.RequestOutcome;
 import org.damaskmoor.core.id.Incarnation;
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.core.id.ServiceName;
-import org.damaskmoor.report.BurnCalculator.Burn;
+import org.damaskmoor.report.BurnRateCalculator.Burn;
 import org.damaskmoor.schema.configuration.ServiceConfiguration;
 import org.damaskmoor.schema.configuration.ServiceLevelObjective;
 import org.damaskmoor.schema.mesh.RefusalCount;
@@ -65,7 +65,7 @@
         flushRequests(200, 260);
 
         // when
-        Burn burn = BurnCalculator.calculate(services(), reader.requests(0, 300), 259).get(0);
+        Burn burn = BurnRateCalculator.calculate(services(), reader.requests(0, 300), 259).get(0);
 
         // then: an allowed share of one in a hundred
         assertThat(burn.rates().get(0).weight()).isEqualTo(500);
@@ -112,13 +112,13 @@
         }
     }
 
-    private static EndedRequest request(long minute, boolean refused) {
-        return new EndedRequest(
+    private static CompletedRequest request(long minute, boolean refused) {
+        return new CompletedRequest(
                 new ServiceName("besuch"),
                 "lookup",
                 minute,
                 1,
-                refused ? RequestEnd.REFUSED : RequestEnd.ANSWERED_IN_TIME,
+                refused ? RequestOutcome.REFUSED : RequestOutcome.ANSWERED_IN_TIME,
                 12);
     }
 
--- a/report/src/test/java/org/damaskmoor/report/internal/RenderersTest.java
+++ b/report/src/test/java/org/damaskmoor/report/internal/ReportRendererTest.java
@@ -8,22 +8,22 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class RenderersTest {
-    private static final ReportPage PAGE =
-            new ReportPage(
+class ReportRendererTest {
+    private static final Report PAGE =
+            new Report(
                     "Refusals <now>",
                     List.of(
-                            new ReportPage.Table(
+                            new Report.Table(
                                     "refusals",
                                     List.of("caller", "refusals"),
                                     List.of(List.of("a&b", 3L)))),
                     List.of(
-                            new ReportPage.Plot(
+                            new Report.Plot(
                                     "by caller", "refusals", List.of("a&b"), List.of(3.0))));
 
     @Test
     void should_align_columns_as_text() {
-        assertThat(Renderers.text(PAGE))
+        assertThat(ReportRenderer.text(PAGE))
                 .isEqualTo("Refusals <now>\n\nrefusals\ncaller  refusals\na&b     3\n");
     }
 
@@ -31,7 +31,7 @@
     void should_write_one_object_per_row_in_json() throws InvalidProtocolBufferException {
         // when
         Struct.Builder parsed = Struct.newBuilder();
-        JsonFormat.parser().merge(Renderers.json(PAGE), parsed);
+        JsonFormat.parser().merge(ReportRenderer.json(PAGE), parsed);
 
         // then
         Struct row =
@@ -43,8 +43,8 @@
 
     @Test
     void should_escape_names_and_embed_plots_in_html() {
-        assertThat(Renderers.html(PAGE)).contains("<td>a&amp;b</td>");
-        assertThat(Renderers.html(PAGE)).contains("Refusals &lt;now&gt;");
-        assertThat(Renderers.html(PAGE)).contains("data:image/png;base64,");
+        assertThat(ReportRenderer.html(PAGE)).contains("<td>a&amp;b</td>");
+        assertThat(ReportRenderer.html(PAGE)).contains("Refusals &lt;now&gt;");
+        assertThat(ReportRenderer.html(PAGE)).contains("data:image/png;base64,");
     }
 }
--- a/soak/src/main/java/org/damaskmoor/soak/FaultPlayer.java
+++ b/soak/src/main/java/org/damaskmoor/soak/FaultPlayer.java
@@ -233,9 +233,9 @@
 
     private void store(StoreStandIn.Mode mode, long lasting) throws InterruptedException {
         LongConsumer end = disturbances.begin(Part.STORE, 0, clock.getAsLong());
-        site.store().mode(mode);
+        site.store().setMode(mode);
         Thread.sleep(lasting);
-        site.store().mode(StoreStandIn.Mode.NORMAL);
+        site.store().setMode(StoreStandIn.Mode.NORMAL);
         end.accept(clock.getAsLong());
     }
 
--- a/soak/src/main/java/org/damaskmoor/soak/RelayProcess.java
+++ b/soak/src/main/java/org/damaskmoor/soak/RelayProcess.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import org.damaskmoor.platform.standin.MachineCalls;
+import org.damaskmoor.platform.standin.AnnouncementClient;
 
 /**
  * One relay as a process of its own, with its settings file and its log.
@@ -64,7 +64,7 @@
     /** Whether it says that it takes callers. */
     boolean isReady() {
         try {
-            return MachineCalls.isReady(readiness);
+            return AnnouncementClient.isReady(readiness);
         } catch (IOException notThere) {
             return false;
         }
--- a/soak/src/main/java/org/damaskmoor/soak/SoakCaller.java
+++ b/soak/src/main/java/org/damaskmoor/soak/SoakCaller.java
@@ -89,7 +89,7 @@
         boolean own = true;
         boolean usable = true;
         try {
-            RawCaller.Answer answer = connection.read();
+            RawCaller.Answer answer = connection.readAnswer();
             status = answer.status();
             end = answer.isNotRun() ? End.SAID_NOT_RUN : End.ANSWERED;
             own = status != OK || answer.isOwn(id);
--- a/soak/src/main/java/org/damaskmoor/soak/SoakSite.java
+++ b/soak/src/main/java/org/damaskmoor/soak/SoakSite.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.ConcurrentSkipListSet;
 import java.util.function.LongSupplier;
 import java.util.random.RandomGenerator;
-import org.damaskmoor.platform.standin.ConfigurationText;
+import org.damaskmoor.platform.standin.ConfigurationJson;
 import org.damaskmoor.platform.standin.StoreStandIn;
 import org.damaskmoor.soak.fault.FaultyLink;
 import org.damaskmoor.soak.promise.RunLedger;
@@ -141,9 +141,9 @@
         StringBuilder routes = new StringBuilder();
         for (int i = 1; i <= version; i++) {
             routes.append(',')
-                    .append(ConfigurationText.route("v" + i, "/v" + i + "/", "idempotent"));
+                    .append(ConfigurationJson.route("v" + i, "/v" + i + "/", "idempotent"));
         }
-        store.configure(ConfigurationText.of(version, routes.toString()));
+        store.putConfiguration(ConfigurationJson.of(version, routes.toString()));
         acknowledged.put(version, clock.getAsLong());
     }
 
--- a/soak/src/main/java/org/damaskmoor/soak/SoakUpstream.java
+++ b/soak/src/main/java/org/damaskmoor/soak/SoakUpstream.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.function.LongSupplier;
-import org.damaskmoor.platform.standin.MachineCalls;
+import org.damaskmoor.platform.standin.AnnouncementClient;
 import org.damaskmoor.platform.standin.UpstreamStandIn;
 import org.damaskmoor.platform.standin.UpstreamStandIn.Connection;
 import org.damaskmoor.platform.standin.UpstreamStandIn.Request;
@@ -63,7 +63,7 @@
         String id = "upstream-" + relay + "-" + incarnations;
         UpstreamStandIn server = new UpstreamStandIn(port);
         Incarnation started = new Incarnation(id, clock.getAsLong(), server, new Semaphore(SLOTS));
-        server.script((request, connection) -> answer(started, request, connection));
+        server.setScript((request, connection) -> answer(started, request, connection));
         present = started;
         Thread announcing = new Thread(() -> announce(started), "announce-" + id);
         announcing.setDaemon(true);
@@ -104,7 +104,7 @@
             throws IOException, InterruptedException {
         awaitThaw();
         if (!self.slots().tryAcquire()) {
-            UpstreamStandIn.shed(connection);
+            UpstreamStandIn.answerNotRun(connection);
             return;
         }
         try {
@@ -113,7 +113,7 @@
                     ThreadLocalRandom.current()
                             .nextLong(SHORTEST_WORK_MILLISECONDS, LONGEST_WORK_MILLISECONDS));
             awaitThaw();
-            UpstreamStandIn.ok(request, connection);
+            UpstreamStandIn.answerOk(request, connection);
         } finally {
             self.slots().release();
         }
@@ -145,7 +145,7 @@
 
     private boolean send(Incarnation self, long sequence, String state) {
         try {
-            return MachineCalls.announce(
+            return AnnouncementClient.announce(
                             announcements, "books", self.id(), self.born(), sequence, state, SLOTS)
                     == OK;
         } catch (IOException relayIsAway) {
--- a/soak/src/test/java/org/damaskmoor/soak/fault/FaultyLinkTest.java
+++ b/soak/src/test/java/org/damaskmoor/soak/fault/FaultyLinkTest.java
@@ -96,7 +96,7 @@
         }
 
         // then
-        assertThat(upstream.runs("r1")).isEqualTo(1);
+        assertThat(upstream.runCount("r1")).isEqualTo(1);
     }
 
     @Test
@@ -114,7 +114,7 @@
                 assertThat(ask(later, "r3").body()).isEqualTo("answer to r3");
             }
         }
-        assertThat(upstream.runs("r1") + upstream.runs("r2")).isEqualTo(0);
+        assertThat(upstream.runCount("r1") + upstream.runCount("r2")).isEqualTo(0);
     }
 
     private RawCaller caller() throws IOException {
@@ -122,6 +122,6 @@
     }
 
     private static RawCaller.Answer ask(RawCaller caller, String id) throws IOException {
-        return caller.ask(RawCaller.get("/read/1", id));
+        return caller.exchange(RawCaller.get("/read/1", id));
     }
 }
--- a/spec/src/test/java/org/damaskmoor/spec/LedgerProbe.java
+++ b/spec/src/test/java/org/damaskmoor/spec/LedgerModelDriver.java
@@ -2,19 +2,19 @@
 
 import com.google.protobuf.ByteString;
 import java.util.function.Supplier;
+import org.damaskmoor.core.atmostonce.CallKey;
+import org.damaskmoor.core.atmostonce.LedgerLimits;
+import org.damaskmoor.core.atmostonce.TargetLedger;
 import org.damaskmoor.core.id.Incarnation;
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.core.id.RequestId;
-import org.damaskmoor.core.once.CallKey;
-import org.damaskmoor.core.once.LedgerLimits;
-import org.damaskmoor.core.once.TargetLedger;
 
 /**
  * A ledger with one request, moved by the operations of the transition table. Not thread-safe.
  *
  * <p>A second request fills the ledger while an operation is to find it full.
  */
-final class LedgerProbe {
+final class LedgerModelDriver {
     private static final long IN_TIME = 0;
     private static final long DEADLINE = 100;
     private static final long KEEP_UNTIL = 200;
@@ -30,8 +30,8 @@
     }
 
     /** Returns a ledger in which the request is in the given state. */
-    static LedgerProbe in(String state) {
-        LedgerProbe probe = new LedgerProbe();
+    static LedgerModelDriver in(String state) {
+        LedgerModelDriver probe = new LedgerModelDriver();
         switch (state) {
             case "ABSENT" -> {}
             case "FENCED" -> probe.apply("acceptFull");
--- a/spec/src/test/java/org/damaskmoor/spec/LedgerTransitionsTest.java
+++ b/spec/src/test/java/org/damaskmoor/spec/LedgerTransitionsTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Collectors;
-import org.damaskmoor.core.once.CallState;
+import org.damaskmoor.core.atmostonce.CallState;
 import org.junit.jupiter.api.Test;
 
 class LedgerTransitionsTest {
@@ -20,7 +20,7 @@
     void should_move_as_the_transition_table_of_the_model_says() throws IOException {
         for (Transition transition : transitions()) {
             // given
-            LedgerProbe probe = LedgerProbe.in(transition.state());
+            LedgerModelDriver probe = LedgerModelDriver.in(transition.state());
 
             // when
             String result = probe.apply(transition.operation());
