--- a/core/src/main/java/org/damaskmoor/core/routing/Candidate.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/Candidate.java
@@ -1,24 +1,30 @@
 package org.damaskmoor.core.routing;
 
-/** A target as a {@link ChoicePolicy} sees it. Not thread-safe; valid during the choice only. */
+/**
+ * A target as presented to a {@link ChoicePolicy}. Valid only during one choice. Not thread-safe.
+ */
 public interface Candidate {
-    /** The target as membership knows it. */
+    /** The target from the latest membership snapshot. */
     Target target();
 
-    /** How far it is from here. */
+    /** Distance from the entry node to the target. */
     Distance distance();
 
-    /** Attempts that this node sent to it and that have not ended. */
+    /** Attempts from this entry node that are in flight at the target. */
     int ownInFlight();
 
-    /** The number of the choice that took it last; 0 when none did. */
+    /** Sequence number of the last choice that selected this target, or 0 if none has. */
     long lastChoice();
 
-    /** Expected requests at the target: the own ones, and those of others last heard of. */
+    /**
+     * Expected number of requests at the target: those from this entry node plus those from other
+     * entry nodes, as last reported.
+     */
     double expectedLoad(long nowNanoseconds);
 
     /**
-     * Expected time until an answer to one more request, in nanoseconds; failures count as time.
+     * Expected time until one more request is answered, in nanoseconds. Failures and refusals are
+     * converted to a time penalty.
      */
     double expectedNanoseconds(long nowNanoseconds);
 }
--- a/core/src/main/java/org/damaskmoor/core/routing/CandidateEstimate.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/CandidateEstimate.java
@@ -1,14 +1,15 @@
 package org.damaskmoor.core.routing;
 
 /**
- * How a router weighs one target at one instant. Immutable and thread-safe.
+ * A router's estimate for one target at one instant, shown to operators. Immutable and thread-safe.
  *
  * @param target the target
- * @param distance how far it is
- * @param expectedNanoseconds expected time until an answer, failures weighed as time
- * @param expectedLoad expected requests at the target
- * @param share part of its normal traffic that it is allowed, from 0 to 1
- * @param available whether it may be chosen
+ * @param distance distance from the entry node to the target
+ * @param expectedNanoseconds expected time until an answer, including penalties for failures and
+ *     refusals
+ * @param expectedLoad expected number of requests at the target
+ * @param share fraction of its normal traffic that ejection leaves the target, from 0 to 1
+ * @param available whether the target may be chosen
  */
 public record CandidateEstimate(
         Target target,
--- a/core/src/main/java/org/damaskmoor/core/routing/Candidates.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/Candidates.java
@@ -1,12 +1,12 @@
 package org.damaskmoor.core.routing;
 
 /**
- * The candidates for one choice, drawn one after the other in random order.
+ * Supplies the candidates for one choice in random order.
  *
- * <p>Only targets that may take the request are drawn, none twice: targets of the own region, and
- * those over the paid link only when the region has no headroom left. Not thread-safe.
+ * <p>Only targets that may take the request are drawn, each at most once. Targets of other regions
+ * are drawn only when the local region has no eligible target or no headroom left. Not thread-safe.
  */
 public interface Candidates {
-    /** The next candidate, or null when all were drawn. */
+    /** Returns the next candidate, or null when all have been drawn. */
     Candidate draw();
 }
--- a/core/src/main/java/org/damaskmoor/core/routing/Choice.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/Choice.java
@@ -3,8 +3,9 @@
 /**
  * The target chosen for one attempt at a request. Immutable and thread-safe.
  *
- * @param target where to send the attempt
- * @param distance how far that is
- * @param expectedNanoseconds expected time until the answer, failures weighed as time
+ * @param target the target to send the attempt to
+ * @param distance distance from the entry node to the target
+ * @param expectedNanoseconds expected time until an answer, including penalties for failures and
+ *     refusals
  */
 public record Choice(Target target, Distance distance, long expectedNanoseconds) {}
--- a/core/src/main/java/org/damaskmoor/core/routing/ChoicePolicies.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/ChoicePolicies.java
@@ -1,38 +1,41 @@
 package org.damaskmoor.core.routing;
 
 /**
- * The ways to choose among candidates: the one the product uses, and baselines to measure against.
+ * Load balancing policies: the one that production uses, and baselines for benchmarks.
  *
- * <p>Stateless and thread-safe; so are the policies.
+ * <p>This class and the policies that it returns are stateless and thread-safe.
  */
 public final class ChoicePolicies {
     private static final int TWO = 2;
 
     private ChoicePolicies() {}
 
-    /** The least expected completion time among a few candidates. What the product uses. */
+    /** Least expected completion time among a few random candidates. Used in production. */
     public static ChoicePolicy expectedCompletion(int sampledCandidates) {
         return (candidates, now) -> leastExpected(candidates, sampledCandidates, now);
     }
 
-    /** Baseline: any candidate. */
+    /** Baseline: a random candidate. */
     public static ChoicePolicy random() {
         return (candidates, now) -> candidates.draw();
     }
 
-    /** Baseline: the candidate whose last turn is longest ago. */
+    /** Baseline: the least recently chosen candidate. */
     public static ChoicePolicy roundRobin() {
-        return (candidates, now) -> leastRecent(candidates);
+        return (candidates, now) -> leastRecentlyChosen(candidates);
     }
 
-    /** Baseline: the candidate with the fewest own requests in flight. */
+    /** Baseline: the candidate with the fewest requests in flight from this entry node. */
     public static ChoicePolicy leastOwnRequests() {
-        return (candidates, now) -> leastOwn(candidates, Integer.MAX_VALUE);
+        return (candidates, now) -> leastOwnInFlight(candidates, Integer.MAX_VALUE);
     }
 
-    /** Baseline: the one of two candidates with fewer own requests in flight. */
+    /**
+     * Baseline: of two random candidates, the one with fewer requests in flight from this entry
+     * node.
+     */
     public static ChoicePolicy powerOfTwoChoices() {
-        return (candidates, now) -> leastOwn(candidates, TWO);
+        return (candidates, now) -> leastOwnInFlight(candidates, TWO);
     }
 
     private static Candidate leastExpected(Candidates candidates, int sampled, long now) {
@@ -55,7 +58,7 @@
         return best;
     }
 
-    private static Candidate leastRecent(Candidates candidates) {
+    private static Candidate leastRecentlyChosen(Candidates candidates) {
         Candidate best = candidates.draw();
         Candidate other = best;
         while (other != null) {
@@ -67,7 +70,7 @@
         return best;
     }
 
-    private static Candidate leastOwn(Candidates candidates, int sampled) {
+    private static Candidate leastOwnInFlight(Candidates candidates, int sampled) {
         Candidate best = candidates.draw();
         Candidate other = best;
         for (int i = 1; i < sampled && other != null; i++) {
--- a/core/src/main/java/org/damaskmoor/core/routing/ChoicePolicy.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/ChoicePolicy.java
@@ -1,7 +1,7 @@
 package org.damaskmoor.core.routing;
 
 /**
- * Chooses one of the candidates.
+ * Load balancing policy: selects one of the candidates for a request.
  *
  * <pre>{@code
  * ChoicePolicy random = (candidates, now) -> candidates.draw();
@@ -11,6 +11,6 @@
  */
 @FunctionalInterface
 public interface ChoicePolicy {
-    /** The chosen candidate, or null when there is none. */
+    /** Returns the selected candidate, or null when there is none. */
     Candidate choose(Candidates candidates, long nowNanoseconds);
 }
--- a/core/src/main/java/org/damaskmoor/core/routing/Distance.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/Distance.java
@@ -2,13 +2,13 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** How far a target is from the entry node, and the time that a request spends on the way. */
+/** Network distance between the entry node and a target. */
 public enum Distance {
-    /** The same data centre. */
+    /** Same data centre. */
     LOCAL(0),
     /** Another data centre of the same region. */
     REGION(TimeUnit.MILLISECONDS.toNanos(2)),
-    /** Another region, over the link that is paid by volume. */
+    /** Another region, over the link that is billed by volume. */
     REMOTE(TimeUnit.MILLISECONDS.toNanos(60));
 
     private final long roundTripNanoseconds;
@@ -17,7 +17,7 @@
         this.roundTripNanoseconds = roundTripNanoseconds;
     }
 
-    /** Expected time to the target and back. */
+    /** Expected network round-trip time to the target. */
     public long roundTripNanoseconds() {
         return roundTripNanoseconds;
     }
--- a/core/src/main/java/org/damaskmoor/core/routing/KeyScope.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/KeyScope.java
@@ -1,16 +1,16 @@
 package org.damaskmoor.core.routing;
 
-/** Among which targets a key has its place. */
+/** The set of targets among which an idempotency key is assigned to one. */
 public enum KeyScope {
     /**
-     * All targets of the service: every entry node places the key alike. For a key that nothing
-     * else guards against a second run.
+     * All targets of the service. Every entry node assigns the key to the same target. For keys
+     * that have no claim to prevent a second execution.
      */
     ALL_REGIONS,
     /**
-     * Targets of the entry node's region while there are any: entry nodes of different regions
-     * place a key differently, and spare the link between them. For a key that is claimed before
-     * its request runs.
+     * Targets of the entry node's region as long as it has any. Entry nodes of different regions
+     * may assign a key to different targets, which saves traffic between regions. For keys that are
+     * claimed before their request runs.
      */
     REGION_FIRST
 }
--- a/core/src/main/java/org/damaskmoor/core/routing/Router.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/Router.java
@@ -15,7 +15,7 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * Decides at an entry node which target of one service gets a request.
+ * Selects the target for each request to one service at an entry node.
  *
  * <pre>{@code
  * router.updateTargets(membership.targetsOf(service), now);
@@ -25,12 +25,12 @@
  * }</pre>
  *
  * <p>Invariants: a target that is leaving, absent or excluded is never chosen; each {@code onSent}
- * is ended by exactly one of {@code onAnswered}, {@code onRefused}, {@code onFailed} and {@code
- * onAbandoned}. News of an unknown target or a former incarnation is ignored. Times are in
- * nanoseconds of one monotonic clock. Not thread-safe: one router belongs to one thread.
+ * must be followed by exactly one of {@code onAnswered}, {@code onRefused}, {@code onFailed} and
+ * {@code onAbandoned}. Events for an unknown target or an earlier incarnation are ignored. Times
+ * are in nanoseconds of one monotonic clock. Not thread-safe: use each router from a single thread.
  */
 public interface Router {
-    /** A router for a node that stands in the given region and data centre. */
+    /** Creates a router for an entry node in the given region and data centre. */
     static Router create(
             RegionName region,
             DataCentreName dataCentre,
@@ -40,28 +40,33 @@
         return new ServiceRouter(region, dataCentre, options, policy, random);
     }
 
-    /** Replaces the targets by those of a new membership snapshot. */
+    /** Replaces all targets with those of a new membership snapshot. */
     void updateTargets(Collection<Target> targets, long nowNanoseconds);
 
-    /** The target for the next attempt; empty when no target may take it. */
+    /** Selects the target for the next attempt; empty when no target may take it. */
     Optional<Choice> choose(RoutingRequest request, Set<NodeId> excluded, long nowNanoseconds);
 
     /**
-     * The target for a request with an idempotency key. The same key goes to the same target as
-     * long as that target takes new work, whatever other targets come and go.
+     * Selects the target for a request with an idempotency key. The same key maps to the same
+     * target as long as that target takes new work, regardless of other targets joining or leaving.
      *
-     * @param scope whether entry nodes of other regions choose the same target
+     * @param scope whether entry nodes of other regions select the same target
      */
     Optional<Choice> chooseForKey(
             String key, KeyScope scope, Set<NodeId> excluded, long nowNanoseconds);
 
-    /** An attempt was sent. */
+    /** Called when an attempt was sent. */
     void onSent(TargetId target, long nowNanoseconds);
 
-    /** A whole answer came; {@code latencyNanoseconds} is the time since it was sent. */
+    /**
+     * Called when a complete answer arrived, {@code latencyNanoseconds} after the attempt was sent.
+     */
     void onAnswered(TargetId target, long latencyNanoseconds, LoadReport load, long nowNanoseconds);
 
-    /** The target refused the attempt, sent {@code waitedNanoseconds} ago, as "not run". */
+    /**
+     * Called when the target refused the attempt as "not run", {@code waitedNanoseconds} after it
+     * was sent.
+     */
     void onRefused(
             TargetId target,
             long waitedNanoseconds,
@@ -69,24 +74,30 @@
             LoadReport load,
             long nowNanoseconds);
 
-    /** The attempt failed, or the upstream answered with a server error. */
+    /** Called when the attempt failed or the upstream answered with a server error. */
     void onFailed(TargetId target, long waitedNanoseconds, long nowNanoseconds);
 
-    /** The caller gave up or another attempt won: says nothing about the target. */
+    /**
+     * Called when the caller gave up or another attempt answered first. Does not affect the
+     * target's failure rate.
+     */
     void onAbandoned(TargetId target, long waitedNanoseconds, long nowNanoseconds);
 
-    /** A load report came by other means than an answer, for example a probe. */
+    /** Called when a load report arrived outside an answer, for example from a probe. */
     void onLoadReport(TargetId target, LoadReport load, long nowNanoseconds);
 
-    /** The summary of another region came over the paid link. */
+    /** Called when the load summary of another region arrived. */
     void onRegionSummary(RegionSummary summary, long nowNanoseconds);
 
-    /** No connection could be opened. Ends no attempt: call {@code onFailed} too after a send. */
+    /**
+     * Called when no connection to the target could be opened. Does not end an attempt: if one was
+     * sent, call {@code onFailed} as well.
+     */
     void onUnreachable(TargetId target, long nowNanoseconds);
 
-    /** How each target would be weighed now, for operators. */
+    /** Returns the current estimate for each target, for operators. */
     List<CandidateEstimate> explain(long nowNanoseconds);
 
-    /** Whether the paid link is in use because the own region has no headroom left. */
+    /** Whether requests may go to other regions because the local region has no headroom left. */
     boolean isRegionHeadroomExhausted();
 }
--- a/core/src/main/java/org/damaskmoor/core/routing/RoutingOptions.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/RoutingOptions.java
@@ -4,25 +4,31 @@
 import org.damaskmoor.schema.configuration.RoutingPolicy;
 
 /**
- * The routing settings in force for one service. Immutable and thread-safe.
+ * The effective routing settings of one service. Immutable and thread-safe.
  *
- * @param sampledCandidates candidates weighed for each choice, at least 1
- * @param slowStartNanoseconds time in which a cold upstream's share grows to a full one
- * @param ejectedPercent most of a service's upstreams that may be ejected at once
+ * @param sampledCandidates number of candidates compared for each choice, at least 1
+ * @param slowStartNanoseconds duration of slow start: time in which the share of a newly started
+ *     upstream grows to its full share
+ * @param ejectedPercent maximum percentage of the service's upstreams that may be ejected at once
  */
 public record RoutingOptions(int sampledCandidates, long slowStartNanoseconds, int ejectedPercent) {
-    /** What holds for a service that sets nothing. */
+    /** The options of a service that configures none. */
     public static final RoutingOptions DEFAULT =
             new RoutingOptions(4, TimeUnit.SECONDS.toNanos(10), 25);
 
     public RoutingOptions {
         if (sampledCandidates < 1) {
             throw new IllegalArgumentException(
-                    "At least one candidate must be sampled, but was " + sampledCandidates + ".");
+                    "The number of sampled candidates must be at least 1, but was "
+                            + sampledCandidates
+                            + ".");
         }
     }
 
-    /** The options that an operator's policy sets; its zeroes are taken from {@code defaults}. */
+    /**
+     * Returns the options set by the operator's policy; fields that are 0 fall back to {@code
+     * defaults}.
+     */
     public static RoutingOptions of(RoutingPolicy policy, RoutingOptions defaults) {
         int sampled = policy.getSampledCandidates();
         int slowStart = policy.getSlowStartMilliseconds();
--- a/core/src/main/java/org/damaskmoor/core/routing/RoutingRequest.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/RoutingRequest.java
@@ -1,9 +1,9 @@
 package org.damaskmoor.core.routing;
 
 /**
- * What routing needs to know of a request. Immutable and thread-safe.
+ * The properties of a request that routing depends on. Immutable and thread-safe.
  *
- * @param nonIdempotent whether it may run at most once
- * @param remainingNanoseconds time left until its deadline
+ * @param nonIdempotent whether the request may run at most once
+ * @param remainingNanoseconds time left until the request's deadline
  */
 public record RoutingRequest(boolean nonIdempotent, long remainingNanoseconds) {}
--- a/core/src/main/java/org/damaskmoor/core/routing/Target.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/Target.java
@@ -7,15 +7,15 @@
 import org.damaskmoor.schema.mesh.UpstreamState;
 
 /**
- * A node of the service as membership knows it.
+ * A node that runs the service, as recorded by membership.
  *
  * <p>Invariant: {@code capacity} is at least 1. Immutable and thread-safe.
  *
  * @param id the node and its incarnation
- * @param region the region it stands in
- * @param dataCentre the data centre it stands in
+ * @param region the node's region
+ * @param dataCentre the node's data centre
  * @param state the state of its upstream
- * @param capacity requests that its upstream announced to serve at once
+ * @param capacity number of concurrent requests that the upstream announced
  */
 public record Target(
         TargetId id,
@@ -31,7 +31,7 @@
         capacity = Math.max(1, capacity);
     }
 
-    /** Whether new work may be sent to it. */
+    /** Whether new requests may be sent to the target. */
     public boolean takesNewWork() {
         return state == UpstreamState.SERVING || state == UpstreamState.WARMING;
     }
--- a/core/src/main/java/org/damaskmoor/core/routing/internal/CandidateSampler.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/internal/CandidateSampler.java
@@ -7,13 +7,14 @@
 import org.damaskmoor.core.routing.Candidates;
 
 /**
- * Draws candidates by a partial Fisher-Yates shuffle of two arrays, own region and remote ones.
+ * Draws random candidates by a partial Fisher-Yates shuffle of two arrays, one with the targets of
+ * the local region and one with those of other regions.
  *
- * <p>Allocates nothing while it draws. The arrays stay permutations of themselves, so that a next
- * choice needs no preparation. Not thread-safe.
+ * <p>Draws without allocation. Shuffling in place keeps each array a permutation of its targets, so
+ * the next choice needs no setup. Not thread-safe.
  */
 final class CandidateSampler implements Candidates {
-    /** While the region has no headroom, one draw in this many is a remote one. */
+    /** While the region has no headroom, one in this many draws is from another region. */
     private static final int DRAWS_PER_REMOTE_DRAW = 3;
 
     private final RandomGenerator random;
@@ -23,9 +24,9 @@
     private int drawnFromRegion;
     private int drawnFromRemote;
     private int drawn;
-    private boolean remoteToo;
+    private boolean includeRemote;
     private boolean remoteAllowed;
-    private boolean lastResort;
+    private boolean ignoreHealth;
     private Set<NodeId> excluded = Set.of();
     private long nowNanoseconds;
 
@@ -47,34 +48,39 @@
     }
 
     /**
-     * Starts a choice.
+     * Starts a new choice.
      *
-     * @param withRemote whether remote targets are drawn beside those of the region
-     * @param allowRemote whether they may be drawn at all, when the region has none
+     * @param newIncludeRemote whether remote targets are drawn in addition to those of the region
+     * @param newRemoteAllowed whether remote targets may be drawn at all, even if the region has no
+     *     eligible target
      */
-    void start(Set<NodeId> without, boolean withRemote, boolean allowRemote, long now) {
-        excluded = without;
-        remoteAllowed = allowRemote;
-        remoteToo = withRemote && allowRemote;
-        lastResort = false;
+    void start(
+            Set<NodeId> newExcluded, boolean newIncludeRemote, boolean newRemoteAllowed, long now) {
+        excluded = newExcluded;
+        remoteAllowed = newRemoteAllowed;
+        includeRemote = newIncludeRemote && newRemoteAllowed;
+        ignoreHealth = false;
         nowNanoseconds = now;
         rewind();
     }
 
-    /** Starts again and draws also targets that are ejected or were not reachable. */
+    /**
+     * Restarts the draw without health checks: ejected targets and those in connect backoff are
+     * drawn as well.
+     */
     void startLastResort() {
-        lastResort = true;
+        ignoreHealth = true;
         rewind();
     }
 
     @Override
     public Candidate draw() {
-        boolean remoteTurn = remoteToo && drawn % DRAWS_PER_REMOTE_DRAW == 2;
+        boolean remoteTurn = includeRemote && drawn % DRAWS_PER_REMOTE_DRAW == 2;
         TargetState state = remoteTurn ? drawRemote() : drawRegion();
         if (state == null && drawn == 0) {
-            remoteToo = remoteAllowed;
+            includeRemote = remoteAllowed;
         }
-        if (state == null && remoteToo) {
+        if (state == null && includeRemote) {
             state = remoteTurn ? drawRegion() : drawRemote();
         }
         if (state != null) {
@@ -115,7 +121,7 @@
         if (!excluded.isEmpty() && excluded.contains(state.target().id().node())) {
             return false;
         }
-        if (lastResort) {
+        if (ignoreHealth) {
             return state.takesNewWork();
         }
         if (!state.isAvailable(nowNanoseconds)) {
--- a/core/src/main/java/org/damaskmoor/core/routing/internal/ConnectBackoff.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/internal/ConnectBackoff.java
@@ -2,33 +2,30 @@
 
 import java.util.concurrent.TimeUnit;
 
-/**
- * Keeps attempts away from a target to which no connection could be opened, for a time that doubles
- * with each further try in vain. Not thread-safe.
- */
+/** Exponential backoff for a target to which no connection could be opened. Not thread-safe. */
 final class ConnectBackoff {
-    private static final long FIRST_PAUSE_NANOSECONDS = TimeUnit.MILLISECONDS.toNanos(200);
-    private static final long LONGEST_PAUSE_NANOSECONDS = TimeUnit.SECONDS.toNanos(10);
+    private static final long INITIAL_BACKOFF_NANOSECONDS = TimeUnit.MILLISECONDS.toNanos(200);
+    private static final long MAX_BACKOFF_NANOSECONDS = TimeUnit.SECONDS.toNanos(10);
 
-    private long pauseNanoseconds;
-    private long pausedAtNanoseconds;
+    private long backoffNanoseconds;
+    private long startedAtNanoseconds;
 
     boolean isReachable(long now) {
-        return pauseNanoseconds == 0 || now - pausedAtNanoseconds >= pauseNanoseconds;
+        return backoffNanoseconds == 0 || now - startedAtNanoseconds >= backoffNanoseconds;
     }
 
     void onConnectFailed(long now) {
         if (!isReachable(now)) {
             return;
         }
-        pauseNanoseconds =
-                pauseNanoseconds == 0
-                        ? FIRST_PAUSE_NANOSECONDS
-                        : Math.min(LONGEST_PAUSE_NANOSECONDS, 2 * pauseNanoseconds);
-        pausedAtNanoseconds = now;
+        backoffNanoseconds =
+                backoffNanoseconds == 0
+                        ? INITIAL_BACKOFF_NANOSECONDS
+                        : Math.min(MAX_BACKOFF_NANOSECONDS, 2 * backoffNanoseconds);
+        startedAtNanoseconds = now;
     }
 
     void reset() {
-        pauseNanoseconds = 0;
+        backoffNanoseconds = 0;
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/routing/internal/DecayingRate.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/internal/DecayingRate.java
@@ -3,12 +3,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Share of recent attempts at one target to which something happened, forgotten with time.
+ * Exponentially weighted fraction of recent attempts at one target that had a given outcome. Decays
+ * towards 0 with time.
  *
  * <p>Invariant: between 0 and 1. Not thread-safe.
  */
 final class DecayingRate {
-    private static final double NEWS_WEIGHT = 0.2;
+    private static final double SAMPLE_WEIGHT = 0.2;
     private static final double HALF_LIFE_NANOSECONDS = TimeUnit.SECONDS.toNanos(1);
     private static final double NEGLIGIBLE = 0.001;
     private static final double LOG_OF_TWO = Math.log(2);
@@ -16,10 +17,10 @@
     private double rate;
     private long changedAtNanoseconds;
 
-    /** One more attempt ended; {@code happened} tells whether what is counted happened to it. */
-    void add(boolean happened, long now) {
+    /** Records an ended attempt; {@code occurred} is whether it had the counted outcome. */
+    void add(boolean occurred, long now) {
         double current = at(now);
-        rate = current + NEWS_WEIGHT * ((happened ? 1 : 0) - current);
+        rate = current + SAMPLE_WEIGHT * ((occurred ? 1 : 0) - current);
         changedAtNanoseconds = now;
     }
 
--- a/core/src/main/java/org/damaskmoor/core/routing/internal/RegionHeadroom.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/internal/RegionHeadroom.java
@@ -3,25 +3,25 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Whether the own region can still take this service's load. Opens the paid link late and closes it
- * clearly below the opening point, so that it does not flap.
+ * Detects whether the local region can still carry this service's load. Traffic to other regions
+ * starts at full occupancy and stops well below it; the hysteresis prevents flapping.
  *
  * <p>Not thread-safe.
  */
 final class RegionHeadroom {
-    private static final double GONE_AT_OCCUPANCY = 1.0;
-    private static final double BACK_BELOW_OCCUPANCY = 0.75;
+    private static final double EXHAUSTED_AT_OCCUPANCY = 1.0;
+    private static final double RESTORED_BELOW_OCCUPANCY = 0.75;
     private static final long INTERVAL_NANOSECONDS = TimeUnit.MILLISECONDS.toNanos(10);
 
-    private boolean gone;
+    private boolean exhausted;
     private boolean computed;
     private long computedAtNanoseconds;
 
     boolean isExhausted() {
-        return gone;
+        return exhausted;
     }
 
-    /** Looks again, at most once an interval. */
+    /** Recomputes the occupancy, at most once per interval. */
     void refresh(TargetState[] region, int count, long now) {
         if (computed && now - computedAtNanoseconds < INTERVAL_NANOSECONDS) {
             return;
@@ -29,10 +29,13 @@
         computed = true;
         computedAtNanoseconds = now;
         double occupancy = occupancy(region, count, now);
-        gone = gone ? occupancy >= BACK_BELOW_OCCUPANCY : occupancy >= GONE_AT_OCCUPANCY;
+        exhausted =
+                exhausted
+                        ? occupancy >= RESTORED_BELOW_OCCUPANCY
+                        : occupancy >= EXHAUSTED_AT_OCCUPANCY;
     }
 
-    /** Forgets when it looked last, because the targets have changed. */
+    /** Forces the next refresh to recompute, because the targets have changed. */
     void invalidate() {
         computed = false;
     }
--- a/core/src/main/java/org/damaskmoor/core/routing/internal/RendezvousHashing.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/internal/RendezvousHashing.java
@@ -5,15 +5,16 @@
 import org.damaskmoor.core.id.NodeId;
 
 /**
- * Places keys on targets by rendezvous hashing: the target with the greatest hash of key and node
- * name. A target that comes or goes moves only the keys that it gains or had.
+ * Maps keys to targets by rendezvous (highest random weight) hashing: each key maps to the target
+ * with the greatest combined hash of key and node name. A joining or leaving target moves only the
+ * keys that map to it.
  *
  * <p>Stateless and thread-safe.
  */
 final class RendezvousHashing {
     private RendezvousHashing() {}
 
-    /** The target for the key, or null when none takes new work. */
+    /** Returns the target for the key, or null when no target takes new work. */
     static TargetState select(TargetState[] targets, long keyHash, Set<NodeId> excluded) {
         TargetState best = null;
         for (TargetState target : targets) {
@@ -24,15 +25,15 @@
         return best;
     }
 
-    /** The one of two targets, either of which may be null, at which the key has its place. */
+    /** Returns whichever of two targets ranks higher for the key; either may be null. */
     static TargetState higherRanked(TargetState first, TargetState second, long keyHash) {
         if (first == null || second == null) {
             return first == null ? second : first;
         }
-        return goesBefore(second, first, keyHash) ? second : first;
+        return ranksHigher(second, first, keyHash) ? second : first;
     }
 
-    private static boolean goesBefore(TargetState target, TargetState other, long keyHash) {
+    private static boolean ranksHigher(TargetState target, TargetState other, long keyHash) {
         long rank = StableHash.combine(keyHash, target.nodeHash());
         long otherRank = StableHash.combine(keyHash, other.nodeHash());
         if (rank != otherRank) {
--- a/core/src/main/java/org/damaskmoor/core/routing/internal/ServiceRouter.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/internal/ServiceRouter.java
@@ -29,17 +29,17 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * The router of one service at one entry node. Hands the candidates to a {@link ChoicePolicy} and
- * keeps what is known of each target.
+ * Routes the requests of one service at one entry node: tracks the state of each target and passes
+ * the candidates to a {@link ChoicePolicy}.
  *
  * <p>Invariant: {@code states} holds exactly the targets of the last snapshot, and the sampler's
- * two arrays hold the same, divided by region. Not thread-safe.
+ * two arrays hold the same targets, split into local region and other regions. Not thread-safe.
  */
 public final class ServiceRouter implements Router {
-    private static final double FAILING_FROM_RATE = 0.5;
+    private static final double EJECTION_FAILURE_RATE = 0.5;
 
-    /** Time in which a node that has just started gets to know the other members. */
-    private static final long JOINING_NANOSECONDS = TimeUnit.SECONDS.toNanos(5);
+    /** Time that a newly started node takes to learn of the other members. */
+    private static final long JOIN_NANOSECONDS = TimeUnit.SECONDS.toNanos(5);
 
     private final RegionName region;
     private final DataCentreName dataCentre;
@@ -47,7 +47,7 @@
     private final ChoicePolicy policy;
     private final CandidateSampler sampler;
     private final RegionHeadroom headroom = new RegionHeadroom();
-    private final Map<RegionName, RegionAverages> priors = new HashMap<>();
+    private final Map<RegionName, RegionAverages> averagesByRegion = new HashMap<>();
     private Map<TargetId, TargetState> states = new HashMap<>();
     private boolean targetsKnown;
     private long firstKnownAtNanoseconds;
@@ -69,12 +69,12 @@
     @Override
     public void updateTargets(Collection<Target> targets, long now) {
         Map<TargetId, TargetState> updated = new HashMap<>();
-        List<TargetState> near = new ArrayList<>();
-        List<TargetState> far = new ArrayList<>();
+        List<TargetState> local = new ArrayList<>();
+        List<TargetState> remote = new ArrayList<>();
         for (Target target : targets) {
             TargetState state = stateFor(target, now);
             if (updated.put(target.id(), state) == null) {
-                (state.distance() == Distance.REMOTE ? far : near).add(state);
+                (state.distance() == Distance.REMOTE ? remote : local).add(state);
             }
         }
         states = updated;
@@ -82,22 +82,22 @@
             targetsKnown = true;
             firstKnownAtNanoseconds = now;
         }
-        sampler.replace(near.toArray(new TargetState[0]), far.toArray(new TargetState[0]));
+        sampler.replace(local.toArray(new TargetState[0]), remote.toArray(new TargetState[0]));
         headroom.invalidate();
     }
 
     @Override
     public Optional<Choice> choose(RoutingRequest request, Set<NodeId> excluded, long now) {
         headroom.refresh(sampler.region(), sampler.region().length, now);
-        boolean remoteInTime =
+        boolean remoteAllowed =
                 request.remainingNanoseconds() > Distance.REMOTE.roundTripNanoseconds();
-        sampler.start(excluded, headroom.isExhausted(), remoteInTime, now);
+        sampler.start(excluded, headroom.isExhausted(), remoteAllowed, now);
         Candidate chosen = policy.choose(sampler, now);
         if (chosen == null) {
             sampler.startLastResort();
             chosen = policy.choose(sampler, now);
         }
-        return chosen == null ? Optional.empty() : Optional.of(taken(chosen, now));
+        return chosen == null ? Optional.empty() : Optional.of(recordChoice(chosen, now));
     }
 
     @Override
@@ -109,7 +109,7 @@
             TargetState remote = RendezvousHashing.select(sampler.remote(), keyHash, excluded);
             chosen = RendezvousHashing.higherRanked(chosen, remote, keyHash);
         }
-        return chosen == null ? Optional.empty() : Optional.of(taken(chosen, now));
+        return chosen == null ? Optional.empty() : Optional.of(recordChoice(chosen, now));
     }
 
     @Override
@@ -132,16 +132,16 @@
 
     @Override
     public void onRefused(
-            TargetId target, long waited, RefusalReason reason, LoadReport load, long now) {
+            TargetId target, long elapsed, RefusalReason reason, LoadReport load, long now) {
         TargetState state = states.get(target);
         if (state == null) {
             return;
         }
-        state.onEnded(waited, now);
+        state.onEnded(elapsed, now);
         switch (reason) {
             case DRAINING, STALE_INCARNATION -> state.markLeaving();
             case TARGET_UNREACHABLE -> state.onConnectFailed(now);
-            case UPSTREAM_UNREACHABLE -> failed(state, now);
+            case UPSTREAM_UNREACHABLE -> recordFailure(state, now);
             case QUEUE_FULL, OVERLOADED, NODE_BUSY, DEADLINE_TOO_SHORT -> {
                 state.onRefusal(now);
                 state.onLoadReport(load, now);
@@ -151,19 +151,19 @@
     }
 
     @Override
-    public void onFailed(TargetId target, long waited, long now) {
+    public void onFailed(TargetId target, long elapsed, long now) {
         TargetState state = states.get(target);
         if (state != null) {
-            state.onEnded(waited, now);
-            failed(state, now);
+            state.onEnded(elapsed, now);
+            recordFailure(state, now);
         }
     }
 
     @Override
-    public void onAbandoned(TargetId target, long waited, long now) {
+    public void onAbandoned(TargetId target, long elapsed, long now) {
         TargetState state = states.get(target);
         if (state != null) {
-            state.onEnded(waited, now);
+            state.onEnded(elapsed, now);
         }
     }
 
@@ -179,7 +179,7 @@
     public void onRegionSummary(RegionSummary summary, long now) {
         if (!summary.region().equals(region)) {
             double latency = TimeUnit.MICROSECONDS.toNanos(summary.latencyMicroseconds());
-            priorOf(summary.region()).replace(summary.occupancy(), latency);
+            averagesOf(summary.region()).replace(summary.occupancy(), latency);
         }
     }
 
@@ -193,9 +193,9 @@
 
     @Override
     public List<CandidateEstimate> explain(long now) {
-        List<CandidateEstimate> weights = new ArrayList<>();
+        List<CandidateEstimate> estimates = new ArrayList<>();
         for (TargetState state : states.values()) {
-            weights.add(
+            estimates.add(
                     new CandidateEstimate(
                             state.target(),
                             state.distance(),
@@ -204,7 +204,7 @@
                             state.share(now),
                             state.isAvailable(now)));
         }
-        return weights;
+        return estimates;
     }
 
     @Override
@@ -212,7 +212,7 @@
         return headroom.isExhausted();
     }
 
-    private Choice taken(Candidate candidate, long now) {
+    private Choice recordChoice(Candidate candidate, long now) {
         TargetState state = (TargetState) candidate;
         state.onChosen(++choices);
         long expected = (long) state.expectedNanoseconds(now);
@@ -220,8 +220,8 @@
     }
 
     /**
-     * Targets that become known while this node itself joins are not cold: it is this node that is
-     * new, not they.
+     * Returns the state of a target, which is created for a new target. Targets discovered while
+     * this node itself joins do not get a slow start: this node is new, they are not.
      */
     private TargetState stateFor(Target target, long now) {
         TargetState known = states.get(target.id());
@@ -233,16 +233,16 @@
                 new TargetState(
                         target,
                         distanceOf(target),
-                        priorOf(target.region()),
+                        averagesOf(target.region()),
                         options.slowStartNanoseconds());
-        boolean joining = !targetsKnown || now - firstKnownAtNanoseconds < JOINING_NANOSECONDS;
+        boolean joining = !targetsKnown || now - firstKnownAtNanoseconds < JOIN_NANOSECONDS;
         if (!joining || hasRestarted(target)) {
             state.startSlowStart(now);
         }
         return state;
     }
 
-    /** Whether another incarnation of the target's node was known until now. */
+    /** Whether another incarnation of the target's node is known. */
     private boolean hasRestarted(Target target) {
         return states.keySet().stream().anyMatch(id -> id.node().equals(target.id().node()));
     }
@@ -254,18 +254,18 @@
         return target.dataCentre().equals(dataCentre) ? Distance.LOCAL : Distance.REGION;
     }
 
-    private RegionAverages priorOf(RegionName name) {
-        return priors.computeIfAbsent(name, unused -> new RegionAverages());
+    private RegionAverages averagesOf(RegionName name) {
+        return averagesByRegion.computeIfAbsent(name, unused -> new RegionAverages());
     }
 
-    private void failed(TargetState state, long now) {
+    private void recordFailure(TargetState state, long now) {
         state.onFailure(now);
-        if (state.failureRate(now) >= FAILING_FROM_RATE) {
+        if (state.failureRate(now) >= EJECTION_FAILURE_RATE) {
             state.eject(allowance(now), now);
         }
     }
 
-    /** What may still be ejected, in whole targets. */
+    /** How much more may be ejected, in units of whole targets. */
     private double allowance(long now) {
         double ejected = 0;
         for (TargetState state : states.values()) {
--- a/core/src/main/java/org/damaskmoor/core/routing/internal/TargetState.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/internal/TargetState.java
@@ -9,49 +9,53 @@
 import org.damaskmoor.schema.mesh.UpstreamState;
 
 /**
- * All that an entry node knows of one incarnation of a target.
+ * Everything that an entry node tracks about one incarnation of a target.
  *
- * <p>Expected completion is the round trip, plus the service time for each turn of the queue, plus
- * failures and refusals as time. Attempts that are out for long speak before any answer does: the
- * estimate is not below their mean age, within bounds. Not thread-safe.
+ * <p>The expected completion time is the network round trip, plus the service time for the request
+ * and the queue ahead of it, plus penalties for failures and refusals. To react to a stalled target
+ * before any answer arrives, the estimate is at least the mean age of the attempts in flight, up to
+ * a bound. Not thread-safe.
  */
 final class TargetState implements Candidate {
-    /** What a failure costs its caller: the time lost and the work of another attempt. */
-    private static final double FAILURE_NANOSECONDS = TimeUnit.MILLISECONDS.toNanos(100);
+    /** Penalty for a failure: the time lost and the work of another attempt. */
+    private static final double FAILURE_PENALTY_NANOSECONDS = TimeUnit.MILLISECONDS.toNanos(100);
 
-    /** What a refusal costs: the way there and back, and a part of the retry budget. */
-    private static final double REFUSAL_NANOSECONDS = TimeUnit.MILLISECONDS.toNanos(20);
+    /** Penalty for a refusal: the round trip, and a token of the retry budget. */
+    private static final double REFUSAL_PENALTY_NANOSECONDS = TimeUnit.MILLISECONDS.toNanos(20);
 
-    /** No age of a request weighs more than this many service times: it may be a long one. */
-    private static final double MOST_SERVICE_TIMES_OF_AGE = 10;
+    /**
+     * Caps the age of attempts at this many service times, because a request may be long by nature.
+     */
+    private static final double MAX_AGE_SERVICE_TIMES = 10;
 
-    /** The part of its limit that counts right after a cold start. */
-    private static final double LEAST_SLOW_START_SHARE = 0.1;
+    /** Fraction of the limit that is used at the beginning of slow start. */
+    private static final double MIN_SLOW_START_SHARE = 0.1;
 
-    private final RegionAverages prior;
+    private final RegionAverages averages;
     private final Distance distance;
-    private final ReportedLoad heard;
+    private final ReportedLoad reported;
     private final DecayingRate failures = new DecayingRate();
     private final DecayingRate refusals = new DecayingRate();
-    private final TrafficShare ejected = new TrafficShare();
-    private final ConnectBackoff reachability = new ConnectBackoff();
+    private final TrafficShare trafficShare = new TrafficShare();
+    private final ConnectBackoff connectBackoff = new ConnectBackoff();
     private final long slowStartNanoseconds;
     private final long hash;
 
     private Target target;
     private boolean leaving;
-    private boolean cold;
-    private long servingSinceNanoseconds;
+    private boolean slowStarting;
+    private long slowStartedAtNanoseconds;
     private int ownInFlight;
     private long sumOfSentNanoseconds;
     private long lastChoice;
 
-    TargetState(Target target, Distance distance, RegionAverages prior, long slowStartNanoseconds) {
+    TargetState(
+            Target target, Distance distance, RegionAverages averages, long slowStartNanoseconds) {
         this.target = target;
         this.distance = distance;
-        this.prior = prior;
+        this.averages = averages;
         this.slowStartNanoseconds = slowStartNanoseconds;
-        this.heard = new ReportedLoad(prior, target.capacity());
+        this.reported = new ReportedLoad(averages, target.capacity());
         this.hash = StableHash.of(target.id().node().value());
     }
 
@@ -77,28 +81,28 @@
 
     @Override
     public double expectedLoad(long now) {
-        return ownInFlight + heard.loadOfOthers(now);
+        return ownInFlight + reported.loadOfOthers(now);
     }
 
     @Override
     public double expectedNanoseconds(long now) {
-        double occupancy = (expectedLoad(now) + 1) / (heard.limit(now) * slowStartShare(now));
-        double service = heard.latencyNanoseconds(now);
+        double occupancy = (expectedLoad(now) + 1) / (reported.limit(now) * slowStartShare(now));
+        double service = reported.latencyNanoseconds(now);
         double completion = Math.max(service * Math.max(1, occupancy), meanAge(service, now));
         return distance.roundTripNanoseconds()
                 + completion
                 + service * occupancy
-                + failureNanoseconds(now)
-                + refusalNanoseconds(now);
+                + failurePenalty(now)
+                + refusalPenalty(now);
     }
 
-    /** The hash of the node's name, by which keys are placed. */
+    /** Hash of the node's name, for rendezvous hashing. */
     long nodeHash() {
         return hash;
     }
 
     double limit(long now) {
-        return heard.limit(now);
+        return reported.limit(now);
     }
 
     boolean takesNewWork() {
@@ -106,23 +110,23 @@
     }
 
     boolean isAvailable(long now) {
-        return takesNewWork() && reachability.isReachable(now);
+        return takesNewWork() && connectBackoff.isReachable(now);
     }
 
-    /** Part of its normal traffic that ejection leaves it. */
+    /** Fraction of the target's normal traffic that ejection leaves it. */
     double share(long now) {
-        return ejected.at(now);
+        return trafficShare.at(now);
     }
 
     double failureRate(long now) {
-        return Math.max(failures.at(now), heard.failureRate(now));
+        return Math.max(failures.at(now), reported.failureRate(now));
     }
 
     void eject(double allowance, long now) {
-        ejected.reduce(allowance, now);
+        trafficShare.reduce(allowance, now);
     }
 
-    /** Takes over a newer record of the same incarnation. */
+    /** Applies a newer membership record of the same incarnation. */
     void update(Target newer, long now) {
         boolean returned = newer.state() == UpstreamState.SERVING && !takesNewWork();
         boolean warmed =
@@ -137,8 +141,8 @@
     }
 
     void startSlowStart(long now) {
-        cold = true;
-        servingSinceNanoseconds = now;
+        slowStarting = true;
+        slowStartedAtNanoseconds = now;
     }
 
     void onChosen(long choice) {
@@ -150,33 +154,33 @@
         sumOfSentNanoseconds += now;
     }
 
-    void onEnded(long waited, long now) {
+    void onEnded(long elapsed, long now) {
         if (ownInFlight == 0) {
             return;
         }
         ownInFlight--;
-        sumOfSentNanoseconds = ownInFlight == 0 ? 0 : sumOfSentNanoseconds - (now - waited);
+        sumOfSentNanoseconds = ownInFlight == 0 ? 0 : sumOfSentNanoseconds - (now - elapsed);
     }
 
     void onSuccess(long now) {
         failures.add(false, now);
         refusals.add(false, now);
-        ejected.onSuccess(now);
-        reachability.reset();
+        trafficShare.onSuccess(now);
+        connectBackoff.reset();
     }
 
     void onFailure(long now) {
         failures.add(true, now);
     }
 
-    /** Refused for want of capacity. */
+    /** Records a refusal for lack of capacity. */
     void onRefusal(long now) {
         refusals.add(true, now);
     }
 
     void onLoadReport(LoadReport report, long now) {
-        reachability.reset();
-        heard.onReport(report, ownInFlight, now);
+        connectBackoff.reset();
+        reported.onReport(report, ownInFlight, now);
         if (report.getState() == UpstreamState.LEAVING) {
             leaving = true;
         } else if (leaving && report.getState() == UpstreamState.SERVING) {
@@ -190,49 +194,52 @@
     }
 
     void onConnectFailed(long now) {
-        reachability.onConnectFailed(now);
+        connectBackoff.onConnectFailed(now);
     }
 
     private double slowStartShare(long now) {
         if (target.state() == UpstreamState.WARMING) {
-            return LEAST_SLOW_START_SHARE;
+            return MIN_SLOW_START_SHARE;
         }
-        if (!cold) {
+        if (!slowStarting) {
             return 1;
         }
-        double part = (double) (now - servingSinceNanoseconds) / slowStartNanoseconds;
-        if (part >= 1) {
-            cold = false;
+        double share = (double) (now - slowStartedAtNanoseconds) / slowStartNanoseconds;
+        if (share >= 1) {
+            slowStarting = false;
             return 1;
         }
-        return Math.max(LEAST_SLOW_START_SHARE, part);
+        return Math.max(MIN_SLOW_START_SHARE, share);
     }
 
     /**
-     * Mean age of own attempts and one of usual age, so that a lone one weighs half. Sums wrap
-     * around together, so that their difference is exact.
+     * Mean age of the attempts in flight, averaged together with one attempt whose age is the
+     * service time, so that a single attempt has only half the weight. Both sums may overflow, but
+     * their difference is exact.
      */
     private double meanAge(double service, long now) {
         if (ownInFlight == 0) {
             return 0;
         }
         long ages = ownInFlight * now - sumOfSentNanoseconds;
-        long onTheWay = ownInFlight * distance.roundTripNanoseconds();
-        double mean = (ages - onTheWay + service) / (ownInFlight + 1);
-        return Math.min(mean, MOST_SERVICE_TIMES_OF_AGE * service);
+        long roundTrips = ownInFlight * distance.roundTripNanoseconds();
+        double mean = (ages - roundTrips + service) / (ownInFlight + 1);
+        return Math.min(mean, MAX_AGE_SERVICE_TIMES * service);
     }
 
-    /** Squared, so that a lone failure among many successes weighs little. */
-    private double failureNanoseconds(long now) {
+    /** The rate is squared so that a single failure among many successes has little effect. */
+    private double failurePenalty(long now) {
         double rate = failureRate(now);
         if (rate == 0) {
             return 0;
         }
-        return rate * rate * Math.max(FAILURE_NANOSECONDS, 10 * prior.latencyNanoseconds());
+        return rate
+                * rate
+                * Math.max(FAILURE_PENALTY_NANOSECONDS, 10 * averages.latencyNanoseconds());
     }
 
-    private double refusalNanoseconds(long now) {
+    private double refusalPenalty(long now) {
         double rate = refusals.at(now);
-        return rate * rate * REFUSAL_NANOSECONDS;
+        return rate * rate * REFUSAL_PENALTY_NANOSECONDS;
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/routing/internal/TrafficShare.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/internal/TrafficShare.java
@@ -3,16 +3,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The part of its normal traffic that a failing target still gets. Halved again and again while it
- * fails, doubled with time and with successes.
+ * The fraction of its normal traffic that an ejected target still receives. Each ejection halves
+ * the share; it recovers exponentially with time and grows with each success.
  *
- * <p>Invariant: between {@link #LEAST} and 1. Not thread-safe.
+ * <p>Invariant: between {@link #MIN_SHARE} and 1. Not thread-safe.
  */
 final class TrafficShare {
-    /** Enough to notice that a target works again. */
-    static final double LEAST = 1.0 / 64;
+    /** Enough traffic to detect that the target has recovered. */
+    static final double MIN_SHARE = 1.0 / 64;
 
-    private static final double DOUBLING_NANOSECONDS = TimeUnit.SECONDS.toNanos(2);
+    private static final double RECOVERY_DOUBLING_NANOSECONDS = TimeUnit.SECONDS.toNanos(2);
     private static final double GROWTH_PER_SUCCESS = 1.2;
 
     private double share = 1;
@@ -23,14 +23,14 @@
             return 1;
         }
         double age = Math.max(0, now - changedAtNanoseconds);
-        return Math.min(1, share * Math.pow(2, age / DOUBLING_NANOSECONDS));
+        return Math.min(1, share * Math.pow(2, age / RECOVERY_DOUBLING_NANOSECONDS));
     }
 
-    /** Halves the share, but takes away no more than {@code allowance}. */
+    /** Halves the share, but reduces it by no more than {@code allowance}. */
     void reduce(double allowance, long now) {
         double current = at(now);
-        double wanted = Math.max(LEAST, current / 2);
-        set(Math.min(current, Math.max(wanted, current - Math.max(0, allowance))), now);
+        double reduced = Math.max(MIN_SHARE, current / 2);
+        set(Math.min(current, Math.max(reduced, current - Math.max(0, allowance))), now);
     }
 
     void onSuccess(long now) {
--- a/core/src/main/java/org/damaskmoor/core/routing/package-info.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Choice of the target of a request at its entry node.
+ * Selection of the target for a request at its entry node.
  *
  * <p>Start at {@link org.damaskmoor.core.routing.Router}.
  */
--- a/core/src/test/java/org/damaskmoor/core/routing/FakeUpstreams.java
+++ b/core/src/test/java/org/damaskmoor/core/routing/FakeUpstreams.java
@@ -18,20 +18,20 @@
 import org.damaskmoor.schema.mesh.UpstreamState;
 
 /**
- * Upstreams of ten slots with service times of 2.5 to 7.5 ms, to which one router sends an open
- * load.
+ * Simulated upstreams with ten slots and service times of 2.5 to 7.5 ms, driven by one router under
+ * open-loop load.
  */
 final class FakeUpstreams {
     private static final int SLOTS = 10;
     private static final long FAILURE = 1000 * RouterFixture.MILLISECOND;
     private static final double SERVICE_NANOSECONDS = 5e6;
 
-    /** How many times its usual service time an upstream takes now; 0: it fails at once. */
+    /** Factor on an upstream's service time at an instant; 0 makes it fail immediately. */
     interface Slowness {
         double of(int upstream, long nowNanoseconds);
     }
 
-    /** The end of an attempt, or the time to hedge the request of an attempt. */
+    /** The end of an attempt, or the time at which its request is hedged. */
     private record Event(long at, int upstream, long sentAt, int request, Kind kind) {}
 
     private enum Kind {
@@ -44,9 +44,9 @@
     private final RouterFixture fixture;
     private final List<Target> targets;
     private final Slowness slowness;
-    private final long[][] freeAt;
+    private final long[][] slotFreeAt;
     private final int[] inFlight;
-    private final double[] mean;
+    private final double[] meanServiceNanoseconds;
     private final RetryBudget budget = new RetryBudget(10, 0);
     private final HedgePolicy hedging;
     private long[] latencies;
@@ -60,60 +60,61 @@
         this.targets = RouterFixture.near(count);
         this.slowness = slowness;
         this.hedging = new HedgePolicy(hedgePercentile, budget, 0);
-        this.freeAt = new long[count][SLOTS];
+        this.slotFreeAt = new long[count][SLOTS];
         this.inFlight = new int[count];
-        this.mean = IntStream.range(0, count).mapToDouble(i -> SERVICE_NANOSECONDS).toArray();
+        this.meanServiceNanoseconds =
+                IntStream.range(0, count).mapToDouble(i -> SERVICE_NANOSECONDS).toArray();
         fixture.now = 0;
         fixture.router.updateTargets(targets, 0);
     }
 
-    /** Latencies in order of size; a failure counts as one second. */
+    /** Returns the sorted latencies; a failure counts as one second. */
     long[] latencies(int requests, double utilisation) {
         double gap = SERVICE_NANOSECONDS / (utilisation * SLOTS * targets.size());
         latencies = new long[requests];
         double next = 0;
         for (int i = 0; i < requests; i++) {
             next += gap * exponential();
-            drainUntil((long) next);
+            processEventsUntil((long) next);
             budget.onRequest(fixture.now);
             latencies[i] = Long.MAX_VALUE;
             send(i, Set.of(), fixture.now);
         }
-        drainUntil(Long.MAX_VALUE);
+        processEventsUntil(Long.MAX_VALUE);
         return Arrays.stream(latencies).sorted().toArray();
     }
 
-    private void send(int request, Set<NodeId> excluded, long askedAt) {
+    private void send(int request, Set<NodeId> excluded, long requestedAt) {
         long now = fixture.now;
         Target target = fixture.router.choose(REQUEST, excluded, now).orElseThrow().target();
         int upstream = targets.indexOf(target);
         fixture.router.onSent(target.id(), now);
         inFlight[upstream]++;
-        double slow = slowness.of(upstream, now);
-        if (slow == 0) {
+        double factor = slowness.of(upstream, now);
+        if (factor == 0) {
             latencies[request] = FAILURE;
             long end = now + RouterFixture.MILLISECOND;
             events.add(new Event(end, upstream, now, request, Kind.FAILURE));
             return;
         }
-        long end = serve(upstream, slow, now);
-        latencies[request] = Math.min(latencies[request], end - askedAt);
+        long end = serve(upstream, factor, now);
+        latencies[request] = Math.min(latencies[request], end - requestedAt);
         events.add(new Event(end, upstream, now, request, Kind.ANSWER));
         if (excluded.isEmpty()) {
-            hedgeLater(upstream, request, now);
+            scheduleHedge(upstream, request, now);
         }
     }
 
-    private long serve(int upstream, double slow, long now) {
+    private long serve(int upstream, double factor, long now) {
         int slot = firstFree(upstream);
-        long start = Math.max(now, freeAt[upstream][slot]);
-        long service = (long) (SERVICE_NANOSECONDS * (0.5 + random.nextDouble()) * slow);
-        freeAt[upstream][slot] = start + service;
-        mean[upstream] += 0.1 * (service - mean[upstream]);
+        long start = Math.max(now, slotFreeAt[upstream][slot]);
+        long service = (long) (SERVICE_NANOSECONDS * (0.5 + random.nextDouble()) * factor);
+        slotFreeAt[upstream][slot] = start + service;
+        meanServiceNanoseconds[upstream] += 0.1 * (service - meanServiceNanoseconds[upstream]);
         return start + service;
     }
 
-    private void hedgeLater(int upstream, int request, long now) {
+    private void scheduleHedge(int upstream, int request, long now) {
         OptionalLong delay = hedging.delayNanoseconds(false, now);
         if (delay.isPresent() && delay.getAsLong() < latencies[request]) {
             long at = now + delay.getAsLong();
@@ -121,7 +122,7 @@
         }
     }
 
-    private void drainUntil(long time) {
+    private void processEventsUntil(long time) {
         while (!events.isEmpty() && events.peek().at <= time) {
             Event event = events.remove();
             fixture.now = event.at;
@@ -154,7 +155,7 @@
                 .setInFlight(running)
                 .setQueued(inFlight[upstream] - running)
                 .setLimit(SLOTS)
-                .setLatencyMicroseconds((int) (mean[upstream] / 1000))
+                .setLatencyMicroseconds((int) (meanServiceNanoseconds[upstream] / 1000))
                 .setState(UpstreamState.SERVING)
                 .build();
     }
@@ -162,7 +163,7 @@
     private int firstFree(int upstream) {
         int first = 0;
         for (int i = 1; i < SLOTS; i++) {
-            first = freeAt[upstream][i] < freeAt[upstream][first] ? i : first;
+            first = slotFreeAt[upstream][i] < slotFreeAt[upstream][first] ? i : first;
         }
         return first;
     }
--- a/core/src/test/java/org/damaskmoor/core/routing/RouterDifferentialTest.java
+++ b/core/src/test/java/org/damaskmoor/core/routing/RouterDifferentialTest.java
@@ -21,14 +21,14 @@
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.schema.mesh.UpstreamState;
 
-/** The router beside versions of its parts that hold plain lists and look at everything. */
+/** Compares the router with naive implementations that scan plain lists. */
 class RouterDifferentialTest {
     private static final UpstreamState[] STATES = {
         UpstreamState.WARMING, UpstreamState.SERVING, UpstreamState.LEAVING, UpstreamState.ABSENT
     };
 
     @Property(seed = "1")
-    void should_draw_each_target_once_that_a_filter_lets_through(
+    void should_draw_each_eligible_target_exactly_once(
             @ForAll long seed, @ForAll @IntRange(max = 12) int count) {
         // given
         Random random = new Random(seed);
@@ -43,14 +43,14 @@
         fixture.router.choose(REQUEST, excluded, fixture.now);
 
         // then
-        Set<NodeId> home = naiveCandidates(targets, excluded, true);
-        Set<NodeId> expected = home.isEmpty() ? naiveCandidates(targets, excluded, false) : home;
+        Set<NodeId> local = naiveCandidates(targets, excluded, true);
+        Set<NodeId> expected = local.isEmpty() ? naiveCandidates(targets, excluded, false) : local;
         assertThat(drawn).isEqualTo(expected);
         assertThat(draws).containsNoDuplicates();
     }
 
     @Property(seed = "1")
-    void should_count_own_requests_like_a_list_of_them(@ForAll long seed) {
+    void should_track_requests_in_flight_like_a_list_of_them(@ForAll long seed) {
         // given
         Random random = new Random(seed);
         RouterFixture fixture = RouterFixture.expectedCompletion();
@@ -77,37 +77,37 @@
     }
 
     @Property(seed = "1")
-    void should_place_a_key_where_sorting_places_it_and_move_it_only_if_it_must(
+    void should_map_a_key_to_the_highest_rank_and_move_it_only_when_that_target_leaves(
             @ForAll String key, @ForAll long seed, @ForAll @IntRange(min = 2, max = 12) int count) {
         // given
         RouterFixture fixture = RouterFixture.expectedCompletion();
         List<Target> targets = RouterFixture.near(count);
         fixture.router.updateTargets(targets, fixture.now);
-        Target first = placed(fixture, key);
+        Target first = selectForKey(fixture, key);
 
         // when
         Target removed = targets.remove(new Random(seed).nextInt(count));
         fixture.router.updateTargets(targets, fixture.now);
-        Target second = placed(fixture, key);
+        Target second = selectForKey(fixture, key);
         targets.add(0, removed);
         fixture.router.updateTargets(targets, fixture.now);
-        Target third = placed(fixture, key);
+        Target third = selectForKey(fixture, key);
 
         // then
-        assertThat(first).isEqualTo(naivePlace(targets, key));
+        assertThat(first).isEqualTo(naiveSelect(targets, key));
         if (!removed.equals(first)) {
             assertThat(second).isEqualTo(first);
         }
         assertThat(third).isEqualTo(first);
     }
 
-    private static Target placed(RouterFixture fixture, String key) {
+    private static Target selectForKey(RouterFixture fixture, String key) {
         Optional<Choice> choice =
                 fixture.router.chooseForKey(key, KeyScope.REGION_FIRST, Set.of(), fixture.now);
         return choice.orElseThrow().target();
     }
 
-    private static Target naivePlace(List<Target> targets, String key) {
+    private static Target naiveSelect(List<Target> targets, String key) {
         Comparator<Target> byRank = (a, b) -> Long.compareUnsigned(rank(key, a), rank(key, b));
         return targets.stream().sorted(byRank.reversed()).findFirst().orElseThrow();
     }
@@ -132,11 +132,11 @@
     private static List<Target> randomTargets(Random random, int count) {
         List<Target> targets = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            boolean home = random.nextBoolean();
+            boolean local = random.nextBoolean();
             UpstreamState state = STATES[random.nextInt(STATES.length)];
             targets.add(
                     RouterFixture.target(
-                            "node-" + i, home ? HOME : FAR, home ? NORTH : SPIEZ, state));
+                            "node-" + i, local ? HOME : FAR, local ? NORTH : SPIEZ, state));
         }
         return targets;
     }
@@ -152,18 +152,21 @@
     }
 
     private static Set<NodeId> naiveCandidates(
-            List<Target> targets, Set<NodeId> excluded, boolean home) {
+            List<Target> targets, Set<NodeId> excluded, boolean local) {
         Set<NodeId> candidates = new HashSet<>();
         for (Target target : targets) {
-            boolean takes = target.takesNewWork() && !excluded.contains(target.id().node());
-            if (takes && target.region().equals(HOME) == home) {
+            boolean eligible = target.takesNewWork() && !excluded.contains(target.id().node());
+            if (eligible && target.region().equals(HOME) == local) {
                 candidates.add(target.id().node());
             }
         }
         return candidates;
     }
 
-    /** Service time 5 ms, limit 10, no failures, no distance. */
+    /**
+     * Expected cost with a service time of 5 ms, a limit of 10, no failures and no network
+     * distance.
+     */
     private static long naiveCost(List<Long> sent, long now) {
         double service = 5 * RouterFixture.MILLISECOND;
         double sumOfAges = 0;
--- a/core/src/test/java/org/damaskmoor/core/routing/RouterFixture.java
+++ b/core/src/test/java/org/damaskmoor/core/routing/RouterFixture.java
@@ -16,7 +16,7 @@
 import org.damaskmoor.schema.mesh.LoadReport;
 import org.damaskmoor.schema.mesh.UpstreamState;
 
-/** A router in mittelland, data centre bern-nord, with its clock and short ways to feed it. */
+/** A router in region mittelland, data centre bern-nord, with a manual clock and helper methods. */
 final class RouterFixture {
     static final RegionName HOME = new RegionName("mittelland");
     static final RegionName FAR = new RegionName("oberland");
@@ -84,7 +84,7 @@
         router.onAnswered(target.id(), latencyMilliseconds * MILLISECOND, load, now);
     }
 
-    /** How often each target is chosen, with all else standing still. */
+    /** Counts how often each target is chosen while nothing else changes. */
     Map<Target, Integer> shares(int choices) {
         Map<Target, Integer> shares = new HashMap<>();
         for (int i = 0; i < choices; i++) {
--- a/core/src/test/java/org/damaskmoor/core/routing/RouterTest.java
+++ b/core/src/test/java/org/damaskmoor/core/routing/RouterTest.java
@@ -35,7 +35,7 @@
     private final Router router = fixture.router;
 
     @Test
-    void should_choose_none_when_all_are_leaving_absent_or_excluded() {
+    void should_choose_no_target_when_all_are_leaving_absent_or_excluded() {
         // given
         Target leaving = target("a", HOME, NORTH, UpstreamState.LEAVING);
         Target absent = target("b", HOME, NORTH, UpstreamState.ABSENT);
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void should_avoid_a_slow_server_before_its_first_late_answer() {
+    void should_avoid_a_slow_target_before_its_first_late_answer() {
         // given
         List<Target> targets = near(4);
         router.updateTargets(targets, fixture.now);
@@ -67,20 +67,20 @@
     }
 
     @Test
-    void should_not_draw_load_to_an_upstream_that_fails_fast() {
+    void should_not_attract_load_to_a_target_that_fails_fast() {
         // given
         List<Target> targets = near(5);
         router.updateTargets(targets, fixture.now);
         Target failing = targets.get(0);
 
         // when
-        int toFailing = 0;
+        int failingChoices = 0;
         for (int i = 0; i < 2000; i++) {
             Target chosen = fixture.choose().orElseThrow().target();
             router.onSent(chosen.id(), fixture.now);
             fixture.advance(1);
             if (chosen.equals(failing)) {
-                toFailing++;
+                failingChoices++;
                 router.onFailed(chosen.id(), MILLISECOND, fixture.now);
             } else {
                 fixture.answered(chosen, 1, load(5, 5));
@@ -88,11 +88,11 @@
         }
 
         // then
-        assertThat(toFailing).isAtMost(20);
+        assertThat(failingChoices).isAtMost(20);
     }
 
     @Test
-    void should_not_eject_more_than_the_set_share_when_all_fail() {
+    void should_not_eject_more_than_the_configured_share_when_all_fail() {
         // given
         List<Target> targets = near(8);
         router.updateTargets(targets, fixture.now);
@@ -107,13 +107,13 @@
         for (CandidateEstimate weight : router.explain(fixture.now)) {
             ejected += 1 - weight.share();
         }
-        double most = targets.size() * RoutingOptions.DEFAULT.ejectedPercent() / 100.0;
-        assertThat(ejected).isAtMost(most + 1e-9);
-        assertThat(ejected).isGreaterThan(0.9 * most);
+        double maximum = targets.size() * RoutingOptions.DEFAULT.ejectedPercent() / 100.0;
+        assertThat(ejected).isAtMost(maximum + 1e-9);
+        assertThat(ejected).isGreaterThan(0.9 * maximum);
     }
 
     @Test
-    void should_treat_a_target_with_a_stale_report_like_the_mean_not_like_an_idle_one() {
+    void should_treat_a_target_with_a_stale_report_as_average_and_not_as_idle() {
         // given
         List<Target> targets = near(2);
         router.updateTargets(targets, fixture.now);
@@ -132,33 +132,33 @@
     }
 
     @Test
-    void should_send_less_to_a_returned_upstream_when_others_have_some_load() {
+    void should_slow_start_a_restarted_target_when_others_have_some_load() {
         // given
         List<Target> targets = near(2);
         router.updateTargets(targets, fixture.now);
-        Target returned =
+        Target restarted =
                 new Target(
                         new TargetId(targets.get(0).id().node(), new Incarnation(2)),
                         HOME,
                         NORTH,
                         UpstreamState.SERVING,
                         10);
-        router.updateTargets(List.of(returned, targets.get(1)), fixture.now);
+        router.updateTargets(List.of(restarted, targets.get(1)), fixture.now);
 
         // when
-        router.onLoadReport(returned.id(), load(0, 5), fixture.now);
+        router.onLoadReport(restarted.id(), load(0, 5), fixture.now);
         router.onLoadReport(targets.get(1).id(), load(5, 5), fixture.now);
 
         // then
-        assertThat(fixture.shares(CHOICES)).doesNotContainKey(returned);
+        assertThat(fixture.shares(CHOICES)).doesNotContainKey(restarted);
         fixture.advance(11_000);
-        router.onLoadReport(returned.id(), load(0, 5), fixture.now);
+        router.onLoadReport(restarted.id(), load(0, 5), fixture.now);
         router.onLoadReport(targets.get(1).id(), load(5, 5), fixture.now);
         assertThat(fixture.shares(CHOICES)).doesNotContainKey(targets.get(1));
     }
 
     @Test
-    void should_take_targets_that_it_gets_to_know_while_it_joins_as_warm() {
+    void should_not_slow_start_targets_discovered_while_this_node_joins() {
         // given
         List<Target> targets = near(4);
         router.updateTargets(targets.subList(0, 1), fixture.now);
@@ -173,21 +173,21 @@
     }
 
     @Test
-    void should_ignore_news_of_a_former_incarnation() {
+    void should_ignore_events_of_an_earlier_incarnation() {
         // given
         router.updateTargets(near(1), fixture.now);
-        TargetId former = new TargetId(new NodeId("node-0"), new Incarnation(99));
+        TargetId earlier = new TargetId(new NodeId("node-0"), new Incarnation(99));
 
         // when
-        router.onSent(former, fixture.now);
-        router.onLoadReport(former, load(9, 5), fixture.now);
+        router.onSent(earlier, fixture.now);
+        router.onLoadReport(earlier, load(9, 5), fixture.now);
 
         // then
         assertThat(router.explain(fixture.now).get(0).expectedLoad()).isEqualTo(0);
     }
 
     @Test
-    void should_prefer_the_own_data_centre_until_its_queue_costs_more_than_the_way() {
+    void should_prefer_the_local_data_centre_until_its_queue_costs_more_than_the_round_trip() {
         // given
         Target north = near("a");
         Target south = target("b", HOME, SOUTH, UpstreamState.SERVING);
@@ -196,41 +196,41 @@
         // when
         router.onLoadReport(north.id(), load(1, 5), fixture.now);
         router.onLoadReport(south.id(), load(0, 5), fixture.now);
-        Map<Target, Integer> calm = fixture.shares(CHOICES);
+        Map<Target, Integer> shortQueue = fixture.shares(CHOICES);
         router.onLoadReport(north.id(), load(16, 5), fixture.now);
-        Map<Target, Integer> busy = fixture.shares(CHOICES);
+        Map<Target, Integer> longQueue = fixture.shares(CHOICES);
 
         // then
-        assertThat(calm).doesNotContainKey(south);
-        assertThat(busy).doesNotContainKey(north);
+        assertThat(shortQueue).doesNotContainKey(south);
+        assertThat(longQueue).doesNotContainKey(north);
     }
 
     @Test
-    void should_use_the_paid_link_only_while_the_region_has_no_headroom() {
+    void should_use_other_regions_only_while_the_local_region_has_no_headroom() {
         // given
-        Target home = near("a");
-        router.updateTargets(List.of(home, far("z")), fixture.now);
+        Target local = near("a");
+        router.updateTargets(List.of(local, far("z")), fixture.now);
         router.onRegionSummary(
                 new RegionSummary(new ServiceName("besuch"), FAR, 1, 0, 10, 5000), fixture.now);
 
         // when
-        Map<Target, Integer> calm = sharesAtLoad(home, 9);
-        Map<Target, Integer> full = sharesAtLoad(home, 300);
-        boolean goneWhenFull = router.isRegionHeadroomExhausted();
-        sharesAtLoad(home, 8);
-        boolean goneInBetween = router.isRegionHeadroomExhausted();
-        Map<Target, Integer> back = sharesAtLoad(home, 2);
+        Map<Target, Integer> withHeadroom = sharesAtLoad(local, 9);
+        Map<Target, Integer> exhausted = sharesAtLoad(local, 300);
+        boolean exhaustedWhenFull = router.isRegionHeadroomExhausted();
+        sharesAtLoad(local, 8);
+        boolean exhaustedInBetween = router.isRegionHeadroomExhausted();
+        Map<Target, Integer> recovered = sharesAtLoad(local, 2);
 
         // then
-        assertThat(calm).doesNotContainKey(far("z"));
-        assertThat(goneWhenFull).isTrue();
-        assertThat(full).containsKey(far("z"));
-        assertThat(goneInBetween).isTrue();
-        assertThat(back).doesNotContainKey(far("z"));
+        assertThat(withHeadroom).doesNotContainKey(far("z"));
+        assertThat(exhaustedWhenFull).isTrue();
+        assertThat(exhausted).containsKey(far("z"));
+        assertThat(exhaustedInBetween).isTrue();
+        assertThat(recovered).doesNotContainKey(far("z"));
     }
 
     @Test
-    void should_not_go_far_when_the_deadline_is_shorter_than_the_way() {
+    void should_not_choose_a_remote_target_when_the_deadline_is_below_the_round_trip() {
         // given
         router.updateTargets(List.of(far("z")), fixture.now);
 
@@ -243,7 +243,7 @@
     }
 
     @Test
-    void should_stop_at_once_when_a_target_says_that_it_drains() {
+    void should_stop_choosing_a_target_once_it_refuses_as_draining() {
         // given
         List<Target> targets = near(2);
         router.updateTargets(targets, fixture.now);
@@ -263,7 +263,7 @@
     }
 
     @Test
-    void should_not_draw_load_to_a_target_that_refuses_fast_while_others_are_busy() {
+    void should_not_attract_load_to_a_target_that_refuses_fast_while_others_are_busy() {
         // given
         List<Target> targets = near(4);
         router.updateTargets(targets, fixture.now);
@@ -285,7 +285,7 @@
     }
 
     @Test
-    void should_choose_a_target_again_when_it_reports_that_it_no_longer_leaves() {
+    void should_choose_a_target_again_when_it_reports_serving_after_leaving() {
         // given
         Target target = near("a");
         router.updateTargets(List.of(target), fixture.now);
@@ -302,7 +302,7 @@
     }
 
     @Test
-    void should_not_let_one_long_request_keep_a_target_out_when_others_queue() {
+    void should_not_avoid_a_target_for_one_long_request_when_others_have_queues() {
         // given
         List<Target> targets = near(2);
         router.updateTargets(targets, fixture.now);
@@ -318,7 +318,7 @@
     }
 
     @Test
-    void should_try_unreachable_targets_when_there_are_no_others() {
+    void should_choose_unreachable_targets_when_there_are_no_others() {
         // given
         List<Target> targets = near(2);
         router.updateTargets(targets, fixture.now);
@@ -340,34 +340,34 @@
     }
 
     @Test
-    void should_place_an_unguarded_key_alike_in_all_regions_when_each_has_targets() {
+    void should_map_a_key_without_a_claim_to_the_same_target_in_all_regions() {
         // given
         List<Target> targets = List.of(near("a"), near("b"), far("c"), far("d"));
-        RouterFixture home = RouterFixture.expectedCompletion();
-        Router away =
+        RouterFixture local = RouterFixture.expectedCompletion();
+        Router remote =
                 Router.create(
                         FAR,
                         SPIEZ,
                         RoutingOptions.DEFAULT,
                         ChoicePolicies.expectedCompletion(4),
                         new Random(1));
-        home.router.updateTargets(targets, home.now);
-        away.updateTargets(targets, home.now);
+        local.router.updateTargets(targets, local.now);
+        remote.updateTargets(targets, local.now);
 
         for (int i = 0; i < 20; i++) {
             // when
             String key = "key-" + i;
-            Choice fromHome = place(home.router, key, KeyScope.ALL_REGIONS, home.now);
-            Choice fromAway = place(away, key, KeyScope.ALL_REGIONS, home.now);
+            Choice fromLocal = chooseForKey(local.router, key, KeyScope.ALL_REGIONS, local.now);
+            Choice fromRemote = chooseForKey(remote, key, KeyScope.ALL_REGIONS, local.now);
 
             // then
-            assertThat(fromAway.target()).isEqualTo(fromHome.target());
-            Choice near = place(home.router, key, KeyScope.REGION_FIRST, home.now);
+            assertThat(fromRemote.target()).isEqualTo(fromLocal.target());
+            Choice near = chooseForKey(local.router, key, KeyScope.REGION_FIRST, local.now);
             assertThat(near.target().region()).isEqualTo(HOME);
         }
     }
 
-    private static Choice place(Router router, String key, KeyScope scope, long now) {
+    private static Choice chooseForKey(Router router, String key, KeyScope scope, long now) {
         return router.chooseForKey(key, scope, Set.of(), now).orElseThrow();
     }
 }
--- a/core/src/test/java/org/damaskmoor/core/routing/TailLatencyTest.java
+++ b/core/src/test/java/org/damaskmoor/core/routing/TailLatencyTest.java
@@ -4,7 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Bounds are those of issue 4, against two choices with the same seed and load. */
+/**
+ * Compares tail latency with power of two choices under the same seed and load. The bounds are
+ * those of issue 4.
+ */
 class TailLatencyTest {
     private static final int UPSTREAMS = 7;
     private static final int REQUESTS = 100_000;
@@ -15,12 +18,12 @@
 
     private static final RoutingOptions WITHOUT_EJECTION = new RoutingOptions(2, 1, 0);
 
-    /** Service time ×10 for 50 ms, by turns, every 100 ms. */
+    /** Every 100 ms another upstream is ten times slower for 50 ms. */
     private static final FakeUpstreams.Slowness SHIFTING =
             (upstream, now) -> {
                 long turn = now / (100 * RouterFixture.MILLISECOND);
-                boolean spell = now % (100 * RouterFixture.MILLISECOND) < 50e6;
-                return spell && turn % UPSTREAMS == upstream ? 10 : 1;
+                boolean slowdown = now % (100 * RouterFixture.MILLISECOND) < 50e6;
+                return slowdown && turn % UPSTREAMS == upstream ? 10 : 1;
             };
 
     @Test
