--- a/core/src/main/java/org/damaskmoor/core/routetable/CallerLimits.java
+++ b/core/src/main/java/org/damaskmoor/core/routetable/CallerLimits.java
@@ -1,19 +1,20 @@
 package org.damaskmoor.core.routetable;
 
 /**
- * Bounds on what a caller may send and how long it may take. Immutable and thread-safe.
+ * Size and time limits on callers' connections and requests. Immutable and thread-safe.
  *
- * @param headerBytes longest header, with the request line
- * @param bodyBytes longest body
- * @param headerTimeoutMilliseconds longest time from a request's first byte to the end of its head
- * @param idleTimeoutMilliseconds longest time that a kept connection may be idle
+ * @param headerBytes maximum size of the request line and the headers
+ * @param bodyBytes maximum size of a body
+ * @param headerTimeoutMilliseconds maximum time from a request's first byte to the end of its
+ *     headers
+ * @param idleTimeoutMilliseconds maximum idle time of a keep-alive connection
  */
 public record CallerLimits(
         int headerBytes,
         long bodyBytes,
         long headerTimeoutMilliseconds,
         long idleTimeoutMilliseconds) {
-    /** In force until the first configuration is known. */
+    /** Used until the first configuration arrives. */
     public static final CallerLimits UNCONFIGURED =
             new CallerLimits(16 * 1024, 64 * 1024 * 1024, 5000, 30_000);
 
@@ -22,7 +23,7 @@
                 || bodyBytes <= 0
                 || headerTimeoutMilliseconds <= 0
                 || idleTimeoutMilliseconds <= 0) {
-            throw new IllegalArgumentException("Each limit of callers must be positive.");
+            throw new IllegalArgumentException("Each caller limit must be positive.");
         }
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/routetable/Route.java
+++ b/core/src/main/java/org/damaskmoor/core/routetable/Route.java
@@ -4,21 +4,20 @@
 import java.util.Objects;
 
 /**
- * Requests of one host below one path prefix, and how they are to be served.
+ * Matches the requests of one host below one path prefix and defines how they are served.
  *
- * <p>Invariant: at least one part; the prefix begins and ends with a slash. Immutable and
+ * <p>Invariants: at least one service; the prefix begins and ends with a slash. Immutable and
  * thread-safe.
  *
- * @param name the operator's name of the route
- * @param host lower case, without a port
- * @param prefix beginning of the paths
+ * @param name the name that the operator gave the route
+ * @param host the host, in lower case and without a port
+ * @param prefix the path prefix
  * @param idempotent whether a request may run more than once
- * @param timeoutMilliseconds longest time until a caller is answered; 0 for no bound
- * @param objectiveMilliseconds time in which an answer has its full worth; 0 when there is no
- *     objective
- * @param priority 0 is the most urgent
- * @param parts the services, each with its weight
- * @param maximumAttempts most upstreams that one request may be sent to
+ * @param timeoutMilliseconds maximum time until the caller is answered; 0 for no limit
+ * @param objectiveMilliseconds latency objective; 0 when there is none
+ * @param priority priority of the requests; 0 is the highest
+ * @param parts the services and their weights
+ * @param maximumAttempts maximum number of upstreams that one request may be sent to
  */
 public record Route(
         String name,
@@ -43,14 +42,16 @@
                             + ".");
         }
         if (parts.isEmpty()) {
-            throw new IllegalArgumentException("Route " + name + " names no service.");
+            throw new IllegalArgumentException(
+                    "Route " + name + " must name at least one service.");
         }
         if (timeoutMilliseconds < 0 || objectiveMilliseconds < 0 || priority < 0) {
             throw new IllegalArgumentException(
                     "Route " + name + " has a negative timeout, objective or priority.");
         }
         if (maximumAttempts < 1) {
-            throw new IllegalArgumentException("Route " + name + " allows no attempt.");
+            throw new IllegalArgumentException(
+                    "Route " + name + " must allow at least one attempt.");
         }
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/routetable/RouteTable.java
+++ b/core/src/main/java/org/damaskmoor/core/routetable/RouteTable.java
@@ -9,13 +9,13 @@
 import org.damaskmoor.core.id.ServiceName;
 
 /**
- * One version of the operator's configuration, ready to be asked for the route of a request.
+ * Matches requests to routes, compiled from one version of the operator's configuration.
  *
  * <pre>{@code
  * Optional<Route> route = table.match("shop.example:80", "/prices/7");
  * }</pre>
  *
- * <p>The longest prefix that begins the path wins. Immutable and thread-safe.
+ * <p>The longest matching path prefix wins. Immutable and thread-safe.
  */
 public final class RouteTable {
     private final long version;
@@ -63,12 +63,12 @@
         }
     }
 
-    /** The version; a greater one is newer. */
+    /** Version of the configuration; a greater version is newer. */
     public long version() {
         return version;
     }
 
-    /** Bounds on what callers may send. */
+    /** Size and time limits on callers. */
     public CallerLimits limits() {
         return limits;
     }
@@ -78,16 +78,16 @@
         return routes;
     }
 
-    /** A configured service, or empty. */
+    /** Returns a service, or empty when it is not configured. */
     public Optional<ServiceDefinition> service(ServiceName name) {
         return Optional.ofNullable(services.get(name));
     }
 
     /**
-     * The route of a request.
+     * Returns the route of a request, or empty when none matches.
      *
      * @param host the host, with or without a port
-     * @param path the path without a query
+     * @param path the path without the query
      */
     public Optional<Route> match(String host, String path) {
         Map<String, Route> prefixes = prefixesByHost.get(name(host));
--- a/core/src/main/java/org/damaskmoor/core/routetable/ServiceDefinition.java
+++ b/core/src/main/java/org/damaskmoor/core/routetable/ServiceDefinition.java
@@ -6,9 +6,10 @@
 /**
  * A service as the operator configured it. Immutable and thread-safe.
  *
- * @param name its name
- * @param healthPath path of the health check; empty when there is none
- * @param maximumConnections most connections that an upstream accepts from all callers together
+ * @param name the service's name
+ * @param healthPath path of the health check, or empty when there is none
+ * @param maximumConnections maximum number of connections that an upstream accepts from all callers
+ *     together
  */
 public record ServiceDefinition(ServiceName name, String healthPath, int maximumConnections) {
     public ServiceDefinition {
--- a/core/src/main/java/org/damaskmoor/core/routetable/SmoothWeightedRoundRobin.java
+++ b/core/src/main/java/org/damaskmoor/core/routetable/SmoothWeightedRoundRobin.java
@@ -4,54 +4,55 @@
 import org.damaskmoor.core.id.ServiceName;
 
 /**
- * Divides the requests of a route between its parts, so that every run of requests is close to the
- * weights; answers a load whose share matters from the first hundred requests on.
+ * Distributes the requests of a route over its services by weight.
  *
- * <p>Smooth weighted round robin: each part gains its weight at each turn, the richest part is
- * taken and pays the sum of all weights. Not thread-safe.
+ * <p>Smooth weighted round robin: each turn adds every service's weight to its credit; the service
+ * with the most credit is selected and its credit reduced by the sum of all weights. Every run of
+ * requests stays close to the weights, so shares are accurate within the first hundred requests.
+ * Not thread-safe.
  */
 public final class SmoothWeightedRoundRobin {
     private final List<WeightedService> parts;
-    private final long[] credit;
-    private long sum;
+    private final long[] credits;
+    private long totalWeight;
 
     /**
-     * Starts at a random point of the round, so that nodes that start together do not all begin
-     * with the same part.
+     * Starts at the given position of the round, so that nodes that start together do not all begin
+     * with the same service.
      *
-     * @param firstTurn any number that differs between nodes
+     * @param firstTurn position in the round; should differ between nodes
      */
     public SmoothWeightedRoundRobin(List<WeightedService> parts, int firstTurn) {
         this.parts = List.copyOf(parts);
-        this.credit = new long[parts.size()];
+        this.credits = new long[parts.size()];
         for (WeightedService part : parts) {
-            sum += part.weight();
+            totalWeight += part.weight();
         }
-        if (sum > 0 && parts.size() > 1) {
-            for (int i = 0; i < Math.floorMod(firstTurn, (int) Math.min(sum, 1000)); i++) {
+        if (totalWeight > 0 && parts.size() > 1) {
+            for (int i = 0; i < Math.floorMod(firstTurn, (int) Math.min(totalWeight, 1000)); i++) {
                 next();
             }
         }
     }
 
-    /** The parts that are divided between. */
+    /** The services and their weights. */
     public List<WeightedService> parts() {
         return parts;
     }
 
-    /** The service of the next request. */
+    /** Selects the service for the next request. */
     public ServiceName next() {
-        if (parts.size() == 1 || sum == 0) {
+        if (parts.size() == 1 || totalWeight == 0) {
             return parts.get(0).service();
         }
-        int richest = 0;
-        for (int i = 0; i < credit.length; i++) {
-            credit[i] += parts.get(i).weight();
-            if (credit[i] > credit[richest]) {
-                richest = i;
+        int selected = 0;
+        for (int i = 0; i < credits.length; i++) {
+            credits[i] += parts.get(i).weight();
+            if (credits[i] > credits[selected]) {
+                selected = i;
             }
         }
-        credit[richest] -= sum;
-        return parts.get(richest).service();
+        credits[selected] -= totalWeight;
+        return parts.get(selected).service();
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/routetable/WeightedService.java
+++ b/core/src/main/java/org/damaskmoor/core/routetable/WeightedService.java
@@ -4,10 +4,10 @@
 import org.damaskmoor.core.id.ServiceName;
 
 /**
- * One service behind a route. Immutable and thread-safe.
+ * A service of a route, with its weight. Immutable and thread-safe.
  *
  * @param service the service
- * @param weight its share of the requests, relative to the other parts; 0 for none
+ * @param weight share of the requests, relative to the route's other services; 0 for none
  */
 public record WeightedService(ServiceName service, int weight) {
     public WeightedService {
--- a/core/src/main/java/org/damaskmoor/core/routetable/package-info.java
+++ b/core/src/main/java/org/damaskmoor/core/routetable/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which route a request takes: hosts, path prefixes, and the services behind them.
+ * Route matching: hosts, path prefixes, and the services behind them.
  *
  * <p>Start at {@link org.damaskmoor.core.routetable.RouteTable}.
  */
--- a/core/src/test/java/org/damaskmoor/core/routetable/RouteTableTest.java
+++ b/core/src/test/java/org/damaskmoor/core/routetable/RouteTableTest.java
@@ -13,7 +13,7 @@
     private static final ServiceName BOOKS = new ServiceName("books");
 
     @Test
-    void should_take_the_longest_prefix_that_begins_the_path() {
+    void should_match_the_longest_path_prefix() {
         // given
         RouteTable table = table(route("short", "/a/"), route("long", "/a/b/"));
 
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void should_match_a_host_with_a_port_and_in_any_case() {
+    void should_ignore_the_port_and_the_case_of_a_host() {
         // given
         RouteTable table = table(route("only", "/"));
 
@@ -61,17 +61,17 @@
     }
 
     @Test
-    void should_divide_requests_close_to_the_weights_in_every_run() {
+    void should_distribute_requests_close_to_the_weights() {
         // given
         ServiceName rare = new ServiceName("rare");
-        SmoothWeightedRoundRobin turns =
+        SmoothWeightedRoundRobin roundRobin =
                 new SmoothWeightedRoundRobin(
                         List.of(new WeightedService(BOOKS, 90), new WeightedService(rare, 10)), 7);
 
         // when
         Map<ServiceName, Integer> counts = new HashMap<>();
         for (int i = 0; i < 200; i++) {
-            counts.merge(turns.next(), 1, Integer::sum);
+            counts.merge(roundRobin.next(), 1, Integer::sum);
         }
 
         // then
@@ -79,16 +79,16 @@
     }
 
     @Test
-    void should_never_take_a_part_without_weight() {
+    void should_never_select_a_service_with_weight_zero() {
         // given
         ServiceName none = new ServiceName("none");
-        SmoothWeightedRoundRobin turns =
+        SmoothWeightedRoundRobin roundRobin =
                 new SmoothWeightedRoundRobin(
                         List.of(new WeightedService(none, 0), new WeightedService(BOOKS, 3)), 1);
 
         // when, then
         for (int i = 0; i < 20; i++) {
-            assertThat(turns.next()).isEqualTo(BOOKS);
+            assertThat(roundRobin.next()).isEqualTo(BOOKS);
         }
     }
 
