--- a/core/src/main/java/org/damaskmoor/core/placement/CallProfile.java
+++ b/core/src/main/java/org/damaskmoor/core/placement/CallProfile.java
@@ -1,11 +1,11 @@
 package org.damaskmoor.core.placement;
 
 /**
- * What placement knows of a call. Immutable and thread-safe.
+ * The properties of a call that the choice of its target depends on. Immutable and thread-safe.
  *
- * @param usualMilliseconds what such calls take on an idle VM; 0 when unknown
- * @param objectiveMilliseconds time left in which the answer has its full worth
- * @param kilobytes what such a call and its answer carry
+ * @param serviceMilliseconds mean service time of such calls on an idle VM; 0 when unknown
+ * @param objectiveMilliseconds time left until the latency objective
+ * @param kilobytes mean size of such a call and its answer
  */
 public record CallProfile(
-        double usualMilliseconds, double objectiveMilliseconds, double kilobytes) {}
+        double serviceMilliseconds, double objectiveMilliseconds, double kilobytes) {}
--- a/core/src/main/java/org/damaskmoor/core/placement/Proximity.java
+++ b/core/src/main/java/org/damaskmoor/core/placement/Proximity.java
@@ -1,19 +1,19 @@
 package org.damaskmoor.core.placement;
 
 /**
- * How far a target stands from the entry node. Immutable and thread-safe.
+ * Network distance between the entry node and a target. Immutable and thread-safe.
  *
- * <p>Carrying a call farther costs time, and bytes on links that are paid by volume. The price of a
- * kilobyte is told in answers: what a kilobyte costs, divided by what an answer in time is worth.
+ * <p>A more distant target costs round-trip time, and money for bytes on links that are billed by
+ * volume. The price of a kilobyte is relative to the value of one answer in time.
  */
 public enum Proximity {
-    /** The same VM. */
+    /** Same VM. */
     SELF(0, 0),
-    /** The same data centre. */
+    /** Same data centre. */
     DATA_CENTRE(0.4, 0),
-    /** Another data centre of the region. */
+    /** Another data centre of the same region. */
     REGION(2.2, 0.02),
-    /** Another region, over the paid link. */
+    /** Another region, over the link that is billed by volume. */
     REMOTE(62, 0.12);
 
     private final double roundTripMilliseconds;
@@ -24,12 +24,12 @@
         this.pricePerKilobyte = pricePerKilobyte;
     }
 
-    /** Usual time there and back, in milliseconds. */
+    /** Typical network round-trip time, in milliseconds. */
     public double roundTripMilliseconds() {
         return roundTripMilliseconds;
     }
 
-    /** What a kilobyte to there and back costs, in answers. */
+    /** Price of a kilobyte of call and answer, relative to the value of an answer in time. */
     public double pricePerKilobyte() {
         return pricePerKilobyte;
     }
--- a/core/src/main/java/org/damaskmoor/core/placement/RouteStatistics.java
+++ b/core/src/main/java/org/damaskmoor/core/placement/RouteStatistics.java
@@ -4,23 +4,26 @@
 import java.util.Map;
 
 /**
- * What calls of each route usually take on an idle VM and usually carry, learnt from their answers.
+ * Moving averages of each route's service time on an idle VM and of the size of its calls.
  *
- * <p>Invariant: holds at most {@link #MOST_ROUTES} routes. Not thread-safe.
+ * <p>Invariant: holds at most {@link #MAX_ROUTES} routes. Not thread-safe.
  */
 public final class RouteStatistics {
-    private static final double NEWS_WEIGHT = 0.05;
-    private static final int FIRST_SAMPLES = 8;
-    private static final int MOST_ROUTES = 4096;
+    private static final double SAMPLE_WEIGHT = 0.05;
+    private static final int INITIAL_SAMPLES = 8;
+    private static final int MAX_ROUTES = 4096;
 
-    /** Least part of its usual time that a call needs to be worth sending. */
-    private static final double LEAST_WORK_SHARE = 0.8;
+    /**
+     * A call is worth sending only if this fraction of its mean service time is left until its
+     * deadline.
+     */
+    private static final double MIN_TIME_FRACTION = 0.8;
 
-    /** Of so many calls with too little time left one is sent anyway. */
-    private static final int TRIED_ANYWAY = 5;
+    /** One in this many calls with too little time left is sent anyway. */
+    private static final int CALLS_PER_EXCEPTION = 5;
 
-    /** Size of a call and its answer before any was seen, in kilobytes. */
-    private static final double UNKNOWN_KILOBYTES = 2;
+    /** Size assumed for a call and its answer before the first sample. */
+    private static final double DEFAULT_KILOBYTES = 2;
 
     private final Map<String, Means> routes = new HashMap<>();
 
@@ -31,41 +34,44 @@
         private int tooShort;
     }
 
-    /** A call was answered after the given time by an upstream of the given slowness. */
+    /**
+     * Records an answer; {@code slowness} is the upstream's service time as a multiple of normal.
+     */
     public void onAnswered(String route, double milliseconds, double slowness, double kilobytes) {
-        if (routes.size() >= MOST_ROUTES && !routes.containsKey(route)) {
+        if (routes.size() >= MAX_ROUTES && !routes.containsKey(route)) {
             routes.clear();
         }
         Means means = routes.computeIfAbsent(route, unused -> new Means());
         means.samples++;
-        double weight = Math.max(NEWS_WEIGHT, 1.0 / Math.min(means.samples, FIRST_SAMPLES));
-        double usual = milliseconds / Math.max(1, slowness);
-        means.milliseconds += weight * (usual - means.milliseconds);
+        double weight = Math.max(SAMPLE_WEIGHT, 1.0 / Math.min(means.samples, INITIAL_SAMPLES));
+        double normal = milliseconds / Math.max(1, slowness);
+        means.milliseconds += weight * (normal - means.milliseconds);
         means.kilobytes += weight * (kilobytes - means.kilobytes);
     }
 
-    /** Usual time in milliseconds; 0 when no answer came yet. */
+    /** Mean service time on an idle VM, in milliseconds; 0 before the first answer. */
     public double meanMilliseconds(String route) {
         Means means = routes.get(route);
         return means == null ? 0 : means.milliseconds;
     }
 
     /**
-     * Whether a call has too little time left to be answered. One of {@link #TRIED_ANYWAY} is not
-     * said to be, so that a time that was learnt while upstreams were slow is unlearnt again.
+     * Whether a call has too little time left to be answered. Returns false for one in {@link
+     * #CALLS_PER_EXCEPTION} such calls, so that a mean from a time when upstreams were slow is
+     * corrected.
      */
-    public boolean isDeadlineTooShort(String route, double leftMilliseconds) {
+    public boolean isDeadlineTooShort(String route, double remainingMilliseconds) {
         Means means = routes.get(route);
-        if (means == null || leftMilliseconds >= LEAST_WORK_SHARE * means.milliseconds) {
+        if (means == null || remainingMilliseconds >= MIN_TIME_FRACTION * means.milliseconds) {
             return false;
         }
         means.tooShort++;
-        return means.tooShort % TRIED_ANYWAY != 0;
+        return means.tooShort % CALLS_PER_EXCEPTION != 0;
     }
 
-    /** Usual size of a call and its answer, in kilobytes. */
+    /** Mean size of a call and its answer, in kilobytes. */
     public double meanKilobytes(String route) {
         Means means = routes.get(route);
-        return means == null ? UNKNOWN_KILOBYTES : means.kilobytes;
+        return means == null ? DEFAULT_KILOBYTES : means.kilobytes;
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/placement/TargetEstimate.java
+++ b/core/src/main/java/org/damaskmoor/core/placement/TargetEstimate.java
@@ -1,115 +1,121 @@
 package org.damaskmoor.core.placement;
 
 /**
- * What an entry node expects of one target: from its last report, from its age, and from the calls
- * that this node itself has sent there since.
+ * An entry node's estimate of one target's load, from the last load report, its age, and the calls
+ * that this node has sent since.
  *
- * <p>Answers load that moves faster than reports: a slow moment that was told is forgotten within
- * {@link #MOMENT_MEMORY_MILLISECONDS}, and calls that are out for long count against the target
- * before any answer comes. Times are in milliseconds of one monotonic clock. Not thread-safe.
+ * <p>Load changes faster than reports arrive. A reported slowdown therefore decays with {@link
+ * #SLOWDOWN_DECAY_MILLISECONDS}, and calls that are in flight for long count against the target
+ * before any answer arrives. Times are in milliseconds of one monotonic clock. Not thread-safe.
  */
 public final class TargetEstimate {
-    /** A slow moment is forgotten at this pace; shared VMs change several times a second. */
-    private static final double MOMENT_MEMORY_MILLISECONDS = 120;
+    /**
+     * Decay time of a reported slowdown; the speed of shared VMs changes several times a second.
+     */
+    private static final double SLOWDOWN_DECAY_MILLISECONDS = 120;
 
-    /** Calls of other entries that a report counted are forgotten at this pace. */
-    private static final double OTHERS_MEMORY_MILLISECONDS = 600;
+    /** Decay time of the reported calls from other entry nodes. */
+    private static final double OTHER_CALLS_DECAY_MILLISECONDS = 600;
 
-    /** Weight of one outcome in the failure rate. */
-    private static final double FAILURE_NEWS_WEIGHT = 0.15;
+    /** Weight of one outcome in the moving average of failures. */
+    private static final double FAILURE_SAMPLE_WEIGHT = 0.15;
 
-    /** A failure rate halves in this time without news, so that a target is tried again. */
+    /**
+     * Half-life of the failure rate without new outcomes, so that a failed target is tried again.
+     */
     private static final double FAILURE_HALF_LIFE_MILLISECONDS = 2000;
 
-    private final Proximity nearness;
+    private final Proximity proximity;
     private LoadSnapshot report;
     private long reportedAt;
-    private int ownAtReport;
+    private int ownInFlightAtReport;
     private int ownInFlight;
-    private long sumOfSent;
+    private long sumOfSentAt;
     private double failureRate;
     private long failureAt;
     private long avoidUntil;
 
-    public TargetEstimate(Proximity nearness, int slots, long now) {
-        this.nearness = nearness;
+    public TargetEstimate(Proximity proximity, int slots, long now) {
+        this.proximity = proximity;
         this.report = LoadSnapshot.unknown(slots);
         this.reportedAt = now;
     }
 
-    /** How far it stands from here. */
-    public Proximity nearness() {
-        return nearness;
+    /** Network distance from the entry node to the target. */
+    public Proximity proximity() {
+        return proximity;
     }
 
-    /** A report came. */
-    public void onLoadReport(LoadSnapshot news, long now) {
-        report = news;
+    /** Stores a load report. */
+    public void onLoadReport(LoadSnapshot newReport, long now) {
+        report = newReport;
         reportedAt = now;
-        ownAtReport = ownInFlight;
+        ownInFlightAtReport = ownInFlight;
     }
 
-    /** A call was sent there. */
+    /** Called when a call was sent to the target. */
     public void onSent(long now) {
         ownInFlight++;
-        sumOfSent += now;
+        sumOfSentAt += now;
     }
 
-    /** A call that was sent at the given time has ended there, in whatever way. */
+    /** Called when a call that was sent at the given time has ended, with any outcome. */
     public void onEnded(long sentAt) {
         ownInFlight--;
-        sumOfSent -= sentAt;
-        ownAtReport = Math.max(0, ownAtReport - 1);
+        sumOfSentAt -= sentAt;
+        ownInFlightAtReport = Math.max(0, ownInFlightAtReport - 1);
     }
 
-    /** A call was answered or failed. */
+    /** Records whether a call failed or was answered. */
     public void onOutcome(boolean failed, long now) {
         double rate = failureRate(now);
-        failureRate = rate + FAILURE_NEWS_WEIGHT * ((failed ? 1 : 0) - rate);
+        failureRate = rate + FAILURE_SAMPLE_WEIGHT * ((failed ? 1 : 0) - rate);
         failureAt = now;
     }
 
-    /** Leaves it out until the given time: it can't be reached. */
+    /** Excludes the target until the given time, because it is unreachable. */
     public void avoidUntil(long time) {
         avoidUntil = Math.max(avoidUntil, time);
     }
 
-    /** Whether it is left out now. */
+    /** Whether the target is excluded now. */
     public boolean isAvoided(long now) {
         return now < avoidUntil;
     }
 
-    /** Part of recent calls that failed. */
+    /** Exponentially weighted fraction of recent calls that failed. */
     public double failureRate(long now) {
         double age = Math.max(0, now - failureAt);
         return failureRate * Math.pow(0.5, age / FAILURE_HALF_LIFE_MILLISECONDS);
     }
 
-    /** How long work takes there when no slow moment adds to it, 1 is as usual. */
+    /** Service time without transient slowdowns, as a multiple of normal. */
     public double baselineSlowness() {
-        return report.steadySlowness() > 0 ? report.steadySlowness() : 1;
+        return report.baselineSlowness() > 0 ? report.baselineSlowness() : 1;
     }
 
-    /** How much longer a slow moment makes work there now; 0 when none is expected. */
+    /**
+     * Additional service time from a transient slowdown, as a multiple of normal; 0 without one.
+     */
     public double transientSlowness(long now) {
-        double told = Math.max(0, report.slowness() - baselineSlowness());
+        double reported = Math.max(0, report.slowness() - baselineSlowness());
         double age = now - reportedAt + report.slownessAgeMilliseconds();
-        return told * Math.exp(-age / MOMENT_MEMORY_MILLISECONDS);
+        return reported * Math.exp(-age / SLOWDOWN_DECAY_MILLISECONDS);
     }
 
-    /** Calls expected there now, those of other entries included. */
+    /** Expected number of calls at the target, including those of other entry nodes. */
     public double expectedCalls(long now) {
-        int others = Math.max(0, report.running() + report.waiting() - ownAtReport);
-        double memory = Math.exp(-(now - reportedAt) / OTHERS_MEMORY_MILLISECONDS);
-        return ownInFlight + others * memory;
+        int others = Math.max(0, report.running() + report.waiting() - ownInFlightAtReport);
+        double weight = Math.exp(-(now - reportedAt) / OTHER_CALLS_DECAY_MILLISECONDS);
+        return ownInFlight + others * weight;
     }
 
-    /** Mean time that calls of this node have been out, in milliseconds; 0 when none is. */
+    /** Mean age of this node's calls in flight, in milliseconds; 0 when there are none. */
     double meanInFlightAge(long now) {
-        return ownInFlight == 0 ? 0 : (double) (now * ownInFlight - sumOfSent) / ownInFlight;
+        return ownInFlight == 0 ? 0 : (double) (now * ownInFlight - sumOfSentAt) / ownInFlight;
     }
 
-    /** Calls that may run there at once. */
+    /** Maximum number of calls that may run at the target concurrently. */
     int limit() {
         return Math.max(1, report.limit());
     }
--- a/core/src/main/java/org/damaskmoor/core/placement/package-info.java
+++ b/core/src/main/java/org/damaskmoor/core/placement/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Where an entry node sends a call, when reports of load are as old as the load is short.
+ * Choice of the target for a call at its entry node, when load changes as fast as load reports
+ * arrive.
  *
  * <p>Start at {@link org.damaskmoor.core.placement.TargetChooser}.
  */
--- a/core/src/test/java/org/damaskmoor/core/placement/TargetChooserTest.java
+++ b/core/src/test/java/org/damaskmoor/core/placement/TargetChooserTest.java
@@ -11,19 +11,19 @@
 import org.junit.jupiter.api.Test;
 
 class TargetChooserTest {
-    private static final CallProfile WORK = new CallProfile(100, 800, 2);
+    private static final CallProfile PROFILE = new CallProfile(100, 800, 2);
     private static final long NOW = 10_000;
 
     private final TargetChooser chooser = new TargetChooser(new SplittableRandom(1));
 
     @Test
-    void should_prefer_a_near_target_that_is_a_little_slower_while_both_answer_in_time() {
+    void should_prefer_a_slightly_slower_near_target_while_both_answer_in_time() {
         // given
         TargetEstimate near = target(Proximity.REGION, 4, 1);
         TargetEstimate far = target(Proximity.REMOTE, 0, 1);
 
         // when, then
-        assertThat(choose(List.of(near, far), WORK).target()).isSameInstanceAs(near);
+        assertThat(choose(List.of(near, far), PROFILE).target()).isSameInstanceAs(near);
     }
 
     @Test
@@ -33,7 +33,7 @@
         TargetEstimate far = target(Proximity.REMOTE, 0, 1);
 
         // when, then
-        assertThat(choose(List.of(near, far), WORK).target()).isSameInstanceAs(far);
+        assertThat(choose(List.of(near, far), PROFILE).target()).isSameInstanceAs(far);
     }
 
     @Test
@@ -62,28 +62,28 @@
         // when
         Map<TargetEstimate, Integer> counts = new HashMap<>();
         for (int i = 0; i < 36; i++) {
-            TargetEstimate chosen = choose(targets, WORK).target();
+            TargetEstimate chosen = choose(targets, PROFILE).target();
             chosen.onSent(NOW);
             counts.merge(chosen, 1, Integer::sum);
         }
 
-        // then no target gets more than its slots
+        // then each target gets exactly as many calls as it has slots
         assertThat(counts.values()).containsExactly(9, 9, 9, 9);
     }
 
     @Test
-    void should_count_a_slow_moment_no_more_than_the_wait_for_its_end() {
+    void should_limit_the_cost_of_a_slowdown_to_the_wait_for_its_end() {
         // given
         TargetEstimate slow = target(Proximity.DATA_CENTRE, 0, 5);
         TargetEstimate far = target(Proximity.REMOTE, 0, 1);
-        CallProfile longWork = new CallProfile(300, 800, 2);
+        CallProfile longCall = new CallProfile(300, 800, 2);
 
         // when, then
-        assertThat(choose(List.of(slow, far), longWork).target()).isSameInstanceAs(slow);
+        assertThat(choose(List.of(slow, far), longCall).target()).isSameInstanceAs(slow);
     }
 
     @Test
-    void should_forget_a_slow_moment_as_its_report_ages() {
+    void should_decay_a_slowdown_as_its_report_ages() {
         // given
         TargetEstimate target = target(Proximity.DATA_CENTRE, 0, 5);
 
@@ -93,45 +93,45 @@
     }
 
     @Test
-    void should_tell_how_much_later_the_best_target_may_start() {
+    void should_return_how_much_the_best_target_may_delay_a_call() {
         // given
         TargetEstimate near = target(Proximity.DATA_CENTRE, 0, 1);
         TargetEstimate other = target(Proximity.REGION, 0, 1);
         TargetEstimate far = target(Proximity.REMOTE, 0, 1);
 
         // when
-        double toNeighbour = choose(List.of(near, other), WORK).spareMilliseconds();
-        double toFar = choose(List.of(near, far), WORK).spareMilliseconds();
+        double toNeighbour = choose(List.of(near, other), PROFILE).spareMilliseconds();
+        double toFar = choose(List.of(near, far), PROFILE).spareMilliseconds();
 
         // then
         assertThat(toFar).isGreaterThan(toNeighbour);
-        assertThat(choose(List.of(near), WORK).spareMilliseconds()).isEqualTo(Double.MAX_VALUE);
+        assertThat(choose(List.of(near), PROFILE).spareMilliseconds()).isEqualTo(Double.MAX_VALUE);
     }
 
     @Test
-    void should_leave_a_target_whose_calls_are_overdue_before_any_answer_comes() {
+    void should_avoid_a_target_with_overdue_calls_before_any_answer_arrives() {
         // given
         TargetEstimate stuck = target(Proximity.DATA_CENTRE, 0, 1);
         TargetEstimate other = target(Proximity.REGION, 3, 1);
         stuck.onSent(NOW - 3000);
 
         // when, then
-        assertThat(choose(List.of(stuck, other), WORK).target()).isSameInstanceAs(other);
+        assertThat(choose(List.of(stuck, other), PROFILE).target()).isSameInstanceAs(other);
     }
 
     @Test
-    void should_choose_nothing_from_nothing() {
+    void should_return_null_without_candidates() {
         // when, then
-        assertThat(choose(List.of(), WORK)).isNull();
+        assertThat(choose(List.of(), PROFILE)).isNull();
     }
 
     private TargetChooser.Choice<TargetEstimate> choose(
-            List<TargetEstimate> candidates, CallProfile work) {
-        return chooser.choose(candidates, Function.identity(), work, NOW);
+            List<TargetEstimate> candidates, CallProfile profile) {
+        return chooser.choose(candidates, Function.identity(), profile, NOW);
     }
 
-    private static TargetEstimate target(Proximity nearness, int running, double slowness) {
-        TargetEstimate estimate = new TargetEstimate(nearness, 9, NOW);
+    private static TargetEstimate target(Proximity proximity, int running, double slowness) {
+        TargetEstimate estimate = new TargetEstimate(proximity, 9, NOW);
         estimate.onLoadReport(new LoadSnapshot(running, 0, 9, slowness, 1, 0), NOW);
         return estimate;
     }
