--- a/core/src/main/java/org/damaskmoor/core/queueing/AdaptiveConcurrencyLimit.java
+++ b/core/src/main/java/org/damaskmoor/core/queueing/AdaptiveConcurrencyLimit.java
@@ -3,66 +3,72 @@
 import java.util.Arrays;
 
 /**
- * Learns how many calls an upstream serves best at once; answers upstreams that have more slots
- * than they can serve at full speed.
+ * Learns the concurrency at which an upstream has the greatest throughput, for upstreams that
+ * announce more slots than they can serve at full speed.
  *
- * <p>For each number of calls that run together it keeps how much longer than usual they took. The
- * best number is the one with the most answers a second, not the greatest. Not thread-safe.
+ * <p>Keeps the mean slowdown of calls for each level of concurrency. The limit is the level with
+ * the most answers per second. Not thread-safe.
  */
 public final class AdaptiveConcurrencyLimit {
-    /** Samples of one number of calls before it is believed. */
-    private static final int ENOUGH_SAMPLES = 12;
+    /** Minimum number of samples before a level of concurrency is considered. */
+    private static final int MIN_SAMPLES = 12;
 
-    /** Weight of one sample, once there are enough. */
-    private static final double NEWS_WEIGHT = 0.05;
+    /** Minimum weight of one sample in the mean. */
+    private static final double SAMPLE_WEIGHT = 0.05;
 
-    /** By how much a smaller number must serve more before the greater one is given up. */
-    private static final double CLEARLY_MORE = 1.08;
+    /** A lower level must have a throughput greater by this factor to replace a higher one. */
+    private static final double MIN_THROUGHPUT_GAIN = 1.08;
 
-    /** No fewer than this part of the slots are used: what looks like crowding may be slowness. */
-    private static final double LEAST_PART = 0.5;
+    /**
+     * Minimum fraction of the slots that is used, because what looks like contention may be a slow
+     * VM.
+     */
+    private static final double MIN_SLOT_FRACTION = 0.5;
 
-    private double[] stretch = new double[0];
+    private double[] slowdowns = new double[0];
     private int[] samples = new int[0];
 
     /**
-     * A call was answered.
+     * Records an answered call.
      *
-     * @param together calls that ran when it started, itself included
-     * @param stretched the time it took, in usual times
+     * @param concurrency number of calls that ran when it started, including itself
+     * @param slowdown its service time as a multiple of normal
      */
-    public void onAnswered(int together, double stretched) {
-        grow(together);
-        samples[together]++;
-        double weight = Math.max(NEWS_WEIGHT, 1.0 / samples[together]);
-        stretch[together] += weight * (stretched - stretch[together]);
+    public void onAnswered(int concurrency, double slowdown) {
+        grow(concurrency);
+        samples[concurrency]++;
+        double weight = Math.max(SAMPLE_WEIGHT, 1.0 / samples[concurrency]);
+        slowdowns[concurrency] += weight * (slowdown - slowdowns[concurrency]);
     }
 
-    /** How many calls to run at once on an upstream with so many slots. */
+    /**
+     * Returns the number of calls to run concurrently on an upstream with the given number of
+     * slots.
+     */
     public int limit(int slots) {
-        int least = Math.max(1, (int) Math.ceil(slots * LEAST_PART));
-        int best = slots;
-        double most = 0;
-        int known = 0;
-        for (int calls = Math.min(slots, stretch.length - 1); calls >= least; calls--) {
-            if (samples[calls] < ENOUGH_SAMPLES) {
+        int lowest = Math.max(1, (int) Math.ceil(slots * MIN_SLOT_FRACTION));
+        int limit = slots;
+        double maxThroughput = 0;
+        int knownLevels = 0;
+        for (int calls = Math.min(slots, slowdowns.length - 1); calls >= lowest; calls--) {
+            if (samples[calls] < MIN_SAMPLES) {
                 continue;
             }
-            double served = calls / stretch[calls];
-            if (known == 0 || served > CLEARLY_MORE * most) {
-                best = known == 0 ? slots : calls;
-                most = served;
+            double throughput = calls / slowdowns[calls];
+            if (knownLevels == 0 || throughput > MIN_THROUGHPUT_GAIN * maxThroughput) {
+                limit = knownLevels == 0 ? slots : calls;
+                maxThroughput = throughput;
             }
-            known++;
+            knownLevels++;
         }
-        boolean nextUnknown = best < slots && samples[best + 1] < ENOUGH_SAMPLES;
-        return nextUnknown ? best + 1 : best;
+        boolean nextLevelUnknown = limit < slots && samples[limit + 1] < MIN_SAMPLES;
+        return nextLevelUnknown ? limit + 1 : limit;
     }
 
-    private void grow(int together) {
-        if (together >= stretch.length) {
-            stretch = Arrays.copyOf(stretch, together + 1);
-            samples = Arrays.copyOf(samples, together + 1);
+    private void grow(int concurrency) {
+        if (concurrency >= slowdowns.length) {
+            slowdowns = Arrays.copyOf(slowdowns, concurrency + 1);
+            samples = Arrays.copyOf(samples, concurrency + 1);
         }
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/queueing/AdmissionQueue.java
+++ b/core/src/main/java/org/damaskmoor/core/queueing/AdmissionQueue.java
@@ -7,95 +7,100 @@
 import java.util.TreeMap;
 
 /**
- * Calls that wait beside one upstream for a slot; answers bursts that are longer than the slots and
- * shorter than the callers' patience.
+ * Bounded priority queue of calls in front of one upstream with a concurrency limit; absorbs bursts
+ * that exceed the limit for less time than callers can wait.
  *
  * <pre>{@code
- * Verdict verdict = room.offer(call, delay, mayStart, now);
- * // hand over, keep or send back; whenever a call has ended:
- * room.ended(milliseconds);
- * room.hopeless(now).forEach(this::sendBack);
- * for (T call = room.next(now); call != null; call = room.next(now)) { handOver(call); }
+ * QueueDecision decision = queue.offer(call, delay, mayStart, now);
+ * // start it, keep it or send it back; whenever a call has ended:
+ * queue.onAnswered(milliseconds);
+ * queue.removeExpired(now).forEach(this::sendBack);
+ * for (T call = queue.poll(now); call != null; call = queue.poll(now)) { start(call); }
  * }</pre>
  *
- * <p>A call waits only where its turn is expected before its answer loses its worth; otherwise it
- * is sent back at once, so that its caller can go elsewhere or come again. The most urgent go
- * first. Among equals, calls that are much shorter than usual go first: they cost the others
- * little, and are often calls that a longer one elsewhere waits for. Then come those that can still
- * meet their objective, the one with the nearest objective first. An urgent call takes the place of
- * a less urgent one when the room is full.
+ * <p>A call is queued only if it is expected to start in time for its latency objective; otherwise
+ * it is sent back at once, so that its entry node can try another target or its caller can retry
+ * later. The highest priority goes first. Within a priority, calls that are much shorter than the
+ * mean go first: they delay the others little, and often a longer call elsewhere waits for them.
+ * Next come the calls that can still meet their objective, the earliest objective first. When the
+ * queue is full, a call displaces one of lower priority.
  *
- * <p>Invariants: never more running than the limit, save after the limit fell; a call leaves the
- * room once. Times are in milliseconds of one monotonic clock. Not thread-safe.
+ * <p>Invariants: no more calls run than the limit, except after the limit was lowered; each call
+ * leaves the queue exactly once. Times are in milliseconds of one monotonic clock. Not thread-safe.
  */
 public final class AdmissionQueue<T> {
-    /** Weight of one service time in the mean. */
-    private static final double NEWS_WEIGHT = 0.1;
+    /** Weight of one sample in the mean service time. */
+    private static final double SAMPLE_WEIGHT = 0.1;
 
-    /** Service time before any is known, in milliseconds. */
-    private static final double FIRST_SERVICE_MILLISECONDS = 100;
+    /** Service time assumed before the first sample. */
+    private static final double INITIAL_SERVICE_MILLISECONDS = 100;
 
-    /** Most that wait for each slot: more than this could not be served within any objective. */
-    private static final int MOST_WAITING_PER_SLOT = 4;
+    /** Maximum queue length per slot; more calls could not be served within any objective. */
+    private static final int MAX_WAITING_PER_SLOT = 4;
 
     /**
-     * A call that will miss its objective may wait for this part of what is left to its deadline.
+     * A call that will miss its objective may wait for this fraction of the time left until its
+     * deadline.
      */
-    private static final double LATE_WAIT_SHARE = 0.15;
+    private static final double LATE_WAIT_FRACTION = 0.15;
 
-    /** With so many waiting for each slot, calls that will miss their objective are not taken. */
-    private static final double PRESSURE_PER_SLOT = 0.5;
+    /** From this queue length per slot on, calls that will miss their objective are sent back. */
+    private static final double PRESSURE_WAITING_PER_SLOT = 0.5;
 
-    /** Weight of one call in the share of work that is more urgent. */
-    private static final double URGENCY_NEWS_WEIGHT = 0.03;
+    /** Weight of one call in the moving average of each priority's share. */
+    private static final double PRIORITY_SAMPLE_WEIGHT = 0.03;
 
-    /** Urgent work delays the others no more than if it took this share of the slots. */
-    private static final double MOST_URGENT_SHARE = 0.8;
+    /** Upper bound on the share of the slots that higher priorities are expected to take. */
+    private static final double MAX_HIGHER_PRIORITY_SHARE = 0.8;
 
-    /** A call that takes no more than this part of the mean service time is a short one. */
-    private static final double SHORT_PART = 0.35;
+    /** A call is short when it takes at most this fraction of the mean service time. */
+    private static final double SHORT_FRACTION = 0.35;
 
-    /** Least part of its usual time that a call needs before its deadline to be worth running. */
-    private static final double LEAST_WORK_SHARE = 0.8;
+    /**
+     * A call is worth running only if this fraction of its mean service time is left until its
+     * deadline.
+     */
+    private static final double MIN_TIME_FRACTION = 0.8;
 
     private static final int SHORT = 0;
     private static final int MEETS_OBJECTIVE = 1;
     private static final int MISSES_OBJECTIVE = 2;
-    private static final long LEAST_RETRY_AFTER_MILLISECONDS = 50;
-    private static final long MOST_RETRY_AFTER_MILLISECONDS = 3000;
+    private static final long MIN_RETRY_AFTER_MILLISECONDS = 50;
+    private static final long MAX_RETRY_AFTER_MILLISECONDS = 3000;
 
     private final List<QueuedCall<T>> waiting = new ArrayList<>();
     private final List<T> displaced = new ArrayList<>();
     private final NavigableMap<Integer, Double> shareByPriority = new TreeMap<>();
     private int limit = 1;
     private int running;
-    private double serviceMilliseconds = FIRST_SERVICE_MILLISECONDS;
+    private double serviceMilliseconds = INITIAL_SERVICE_MILLISECONDS;
 
-    /** Sets how many may run at once. */
+    /** Sets the concurrency limit. */
     public void setLimit(int calls) {
         limit = Math.max(1, calls);
     }
 
-    /** How many may run at once. */
+    /** The concurrency limit. */
     public int limit() {
         return limit;
     }
 
-    /** Calls that run now. */
+    /** Number of running calls. */
     public int running() {
         return running;
     }
 
-    /** Calls that wait now. */
+    /** Number of waiting calls. */
     public int waiting() {
         return waiting.size();
     }
 
     /**
-     * A call asks to run.
+     * Decides whether a call starts, waits or is sent back.
      *
-     * @param delayMilliseconds how much longer than usual it would take here, besides its turn
-     * @param mayStart whether calls may be handed over at this instant
+     * @param delayMilliseconds expected extra service time at this upstream, in addition to the
+     *     time in the queue
+     * @param mayStart whether calls may be started now
      */
     public QueueDecision offer(
             QueuedCall<T> call, double delayMilliseconds, boolean mayStart, long now) {
@@ -105,27 +110,28 @@
         }
         if (running < limit && waiting.isEmpty() && mayStart) {
             running++;
-            countUrgency(call.priority());
+            recordPriority(call.priority());
             return QueueDecision.START;
         }
-        double service = call.usualMilliseconds() + delayMilliseconds;
-        double urgent = Math.min(MOST_URGENT_SHARE, urgentShare(call.priority()));
-        wait = wait / (1 - urgent);
+        double service = call.serviceMilliseconds() + delayMilliseconds;
+        double higherPriority =
+                Math.min(MAX_HIGHER_PRIORITY_SHARE, higherPriorityShare(call.priority()));
+        wait = wait / (1 - higherPriority);
         boolean meetsObjective = now + wait + service <= call.objectiveAt();
         boolean worthWaiting =
                 meetsObjective
                         || (call.lastChoice()
                                 && (!isUnderPressure() || rank(call, now) == SHORT)
-                                && wait <= LATE_WAIT_SHARE * (call.deadlineAt() - now)
+                                && wait <= LATE_WAIT_FRACTION * (call.deadlineAt() - now)
                                 && now + wait + service <= call.deadlineAt());
-        if (!worthWaiting || !makeRoom(call)) {
+        if (!worthWaiting || !tryMakeRoom(call)) {
             return QueueDecision.sendBack(retryAfter(wait));
         }
         waiting.add(call);
         return QueueDecision.WAIT;
     }
 
-    /** The next call to hand over, or null when none may start now. */
+    /** Removes and returns the next call to start, or null when none may start now. */
     public T poll(long now) {
         if (running >= limit || waiting.isEmpty()) {
             return null;
@@ -138,28 +144,28 @@
         }
         waiting.remove(best);
         running++;
-        countUrgency(best.priority());
+        recordPriority(best.priority());
         return best.handle();
     }
 
-    /** Takes out the calls that can no longer be served in time. */
+    /** Removes and returns the calls that can no longer be answered before their deadline. */
     public List<T> removeExpired(long now) {
-        List<T> hopeless = List.of();
+        List<T> expired = List.of();
         Iterator<QueuedCall<T>> calls = waiting.iterator();
         while (calls.hasNext()) {
             QueuedCall<T> call = calls.next();
-            double usual = call.usualMilliseconds();
-            boolean tooLate = now + LEAST_WORK_SHARE * usual >= call.deadlineAt();
+            double service = call.serviceMilliseconds();
+            boolean tooLate = now + MIN_TIME_FRACTION * service >= call.deadlineAt();
             if (tooLate) {
                 calls.remove();
-                hopeless = hopeless.isEmpty() ? new ArrayList<>() : hopeless;
-                hopeless.add(call.handle());
+                expired = expired.isEmpty() ? new ArrayList<>() : expired;
+                expired.add(call.handle());
             }
         }
-        return hopeless;
+        return expired;
     }
 
-    /** Takes out the calls whose places more urgent ones have taken since the last question. */
+    /** Returns the calls displaced by calls of higher priority since the last invocation. */
     public List<T> drainDisplaced() {
         if (displaced.isEmpty()) {
             return List.of();
@@ -169,7 +175,7 @@
         return taken;
     }
 
-    /** Takes all calls out. */
+    /** Removes and returns all waiting calls. */
     public List<T> drainAll() {
         List<T> all = new ArrayList<>();
         waiting.forEach(call -> all.add(call.handle()));
@@ -177,39 +183,41 @@
         return all;
     }
 
-    /** Takes a waiting call out. False: it does not wait here. */
+    /** Removes a waiting call; returns false when it is not in the queue. */
     public boolean remove(T handle) {
         return waiting.removeIf(call -> call.handle().equals(handle));
     }
 
-    /** A call that ran was answered. */
+    /** Called when a running call was answered. */
     public void onAnswered(double milliseconds) {
         onAbandoned();
-        serviceMilliseconds += NEWS_WEIGHT * (milliseconds - serviceMilliseconds);
+        serviceMilliseconds += SAMPLE_WEIGHT * (milliseconds - serviceMilliseconds);
     }
 
-    /** A call that ran has ended without telling how long such calls take. */
+    /** Called when a running call has ended without a service time that is worth recording. */
     public void onAbandoned() {
         running--;
     }
 
-    /** When room for one more call is expected, in milliseconds from now. */
+    /** Expected time until the queue accepts one more call, in milliseconds. */
     public long retryAfterMilliseconds() {
         return retryAfter((waiting.size() + 1) * serviceMilliseconds / limit);
     }
 
-    private double expectedWait(QueuedCall<T> coming, long now) {
+    private double expectedWait(QueuedCall<T> arriving, long now) {
         int ahead = 1 + running - limit;
         for (QueuedCall<T> call : waiting) {
-            if (!goesBefore(coming, call, now)) {
+            if (!goesBefore(arriving, call, now)) {
                 ahead++;
             }
         }
         return Math.max(0, ahead) * serviceMilliseconds / limit;
     }
 
-    /** Part of recent calls that were more urgent: their like will go before a waiting call. */
-    private double urgentShare(int priority) {
+    /**
+     * Fraction of recent calls with a higher priority; such calls will go before a waiting call.
+     */
+    private double higherPriorityShare(int priority) {
         double share = 0;
         for (var entry : shareByPriority.headMap(priority).entrySet()) {
             share += entry.getValue();
@@ -217,33 +225,33 @@
         return share;
     }
 
-    private void countUrgency(int priority) {
-        shareByPriority.replaceAll((known, share) -> share * (1 - URGENCY_NEWS_WEIGHT));
-        shareByPriority.merge(priority, URGENCY_NEWS_WEIGHT, Double::sum);
+    private void recordPriority(int priority) {
+        shareByPriority.replaceAll((otherPriority, share) -> share * (1 - PRIORITY_SAMPLE_WEIGHT));
+        shareByPriority.merge(priority, PRIORITY_SAMPLE_WEIGHT, Double::sum);
     }
 
     private boolean isUnderPressure() {
-        return waiting.size() >= PRESSURE_PER_SLOT * limit;
+        return waiting.size() >= PRESSURE_WAITING_PER_SLOT * limit;
     }
 
-    private boolean makeRoom(QueuedCall<T> coming) {
-        if (waiting.size() < MOST_WAITING_PER_SLOT * limit) {
+    private boolean tryMakeRoom(QueuedCall<T> arriving) {
+        if (waiting.size() < MAX_WAITING_PER_SLOT * limit) {
             return true;
         }
-        QueuedCall<T> least = null;
+        QueuedCall<T> lowest = null;
         for (QueuedCall<T> call : waiting) {
-            if (least == null
-                    || call.priority() > least.priority()
-                    || (call.priority() == least.priority()
-                            && call.objectiveAt() > least.objectiveAt())) {
-                least = call;
+            if (lowest == null
+                    || call.priority() > lowest.priority()
+                    || (call.priority() == lowest.priority()
+                            && call.objectiveAt() > lowest.objectiveAt())) {
+                lowest = call;
             }
         }
-        if (least == null || least.priority() <= coming.priority()) {
+        if (lowest == null || lowest.priority() <= arriving.priority()) {
             return false;
         }
-        waiting.remove(least);
-        displaced.add(least.handle());
+        waiting.remove(lowest);
+        displaced.add(lowest.handle());
         return true;
     }
 
@@ -257,16 +265,16 @@
     }
 
     private int rank(QueuedCall<T> call, long now) {
-        double usual = call.usualMilliseconds();
-        if (usual > 0 && usual <= SHORT_PART * serviceMilliseconds) {
+        double service = call.serviceMilliseconds();
+        if (service > 0 && service <= SHORT_FRACTION * serviceMilliseconds) {
             return SHORT;
         }
-        return now + usual <= call.objectiveAt() ? MEETS_OBJECTIVE : MISSES_OBJECTIVE;
+        return now + service <= call.objectiveAt() ? MEETS_OBJECTIVE : MISSES_OBJECTIVE;
     }
 
     private static long retryAfter(double milliseconds) {
         long rounded = Math.round(milliseconds);
         return Math.max(
-                LEAST_RETRY_AFTER_MILLISECONDS, Math.min(MOST_RETRY_AFTER_MILLISECONDS, rounded));
+                MIN_RETRY_AFTER_MILLISECONDS, Math.min(MAX_RETRY_AFTER_MILLISECONDS, rounded));
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/queueing/QueueDecision.java
+++ b/core/src/main/java/org/damaskmoor/core/queueing/QueueDecision.java
@@ -1,19 +1,20 @@
 package org.damaskmoor.core.queueing;
 
 /**
- * What becomes of a call that was offered. Immutable and thread-safe.
+ * The queue's decision on an offered call. Immutable and thread-safe.
  *
- * @param kind what to do
- * @param retryAfterMilliseconds when room is expected, for a call that is sent back; else 0
+ * @param kind what to do with the call
+ * @param retryAfterMilliseconds expected time until the queue accepts calls, for a call that is
+ *     sent back; otherwise 0
  */
 public record QueueDecision(Kind kind, long retryAfterMilliseconds) {
     /** What to do with the call. */
     public enum Kind {
-        /** Hand it over now. */
+        /** The call starts now. */
         START,
-        /** It waits in the room. */
+        /** The call waits in the queue. */
         WAIT,
-        /** It is not to be run here. */
+        /** The call is refused; its entry node may try another target. */
         SEND_BACK
     }
 
--- a/core/src/main/java/org/damaskmoor/core/queueing/SlowdownDetector.java
+++ b/core/src/main/java/org/damaskmoor/core/queueing/SlowdownDetector.java
@@ -3,93 +3,98 @@
 import java.util.ArrayDeque;
 
 /**
- * Tells whether a VM is slow only for a moment, because others that share it take the processor;
- * answers slowness that comes and goes within a fraction of a second.
+ * Detects transient slowdowns of a VM, which last a fraction of a second while other VMs on the
+ * same host take the processor.
  *
- * <p>Work that starts in a slow moment stays slow to its end, so it is better started a moment
- * later. A VM that stays slow is not in a slow moment: waiting would not help.
+ * <p>Work that starts during a slowdown stays slow to its end, so it finishes earlier if it starts
+ * after the slowdown. A VM that stays slow is not in a transient slowdown, because waiting would
+ * not help.
  *
  * <p>Times are in milliseconds of one monotonic clock. Not thread-safe.
  */
 public final class SlowdownDetector {
-    /** A VM this much slower than it was lately is in a slow moment. */
-    public static final double SLOWER_BY = 1.7;
+    /** A VM is in a slowdown when it is slower than its recent best by this factor. */
+    public static final double SLOWDOWN_FACTOR = 1.7;
 
-    /** Slowness told longer ago than this says little about this instant. */
-    private static final long FRESH_MILLISECONDS = 12;
+    /** Maximum age of a reading that counts as current. */
+    private static final long MAX_FRESH_AGE_MILLISECONDS = 12;
 
-    /** How far back the VM's best speed is looked for. */
-    private static final long MEMORY_MILLISECONDS = 2000;
+    /** Time window for the VM's best speed. */
+    private static final long WINDOW_MILLISECONDS = 2000;
 
-    /** A VM that has been slow for longer is slow for good. */
-    private static final long LONGEST_MOMENT_MILLISECONDS = 400;
+    /** A VM that has been slow for longer than this is not in a transient slowdown. */
+    private static final long MAX_SLOWDOWN_MILLISECONDS = 400;
 
-    /** Usual wait for the end of a slow moment. */
-    private static final long USUAL_WAIT_MILLISECONDS = 90;
+    /** Typical remaining duration of a slowdown. */
+    private static final long TYPICAL_SLOWDOWN_MILLISECONDS = 90;
 
     private record Reading(double slowness, long at) {}
 
     private final ArrayDeque<Reading> readings = new ArrayDeque<>();
     private double last = 1;
-    private long toldAt;
-    private boolean told;
+    private long readAt;
+    private boolean known;
     private long slowSince;
     private boolean slow;
 
-    /** The VM told how long work takes on it, 1 is as usual. */
+    /** Records the VM's current service time as a multiple of normal. */
     public void onReading(double slowness, long now) {
         last = slowness;
-        toldAt = now;
-        told = true;
+        readAt = now;
+        known = true;
         while (!readings.isEmpty() && readings.peekLast().slowness() >= slowness) {
             readings.removeLast();
         }
         readings.addLast(new Reading(slowness, now));
-        while (readings.peekFirst().at() < now - MEMORY_MILLISECONDS) {
+        while (readings.peekFirst().at() < now - WINDOW_MILLISECONDS) {
             readings.removeFirst();
         }
-        boolean slower = slowness >= SLOWER_BY * readings.peekFirst().slowness();
+        boolean slower = slowness >= SLOWDOWN_FACTOR * readings.peekFirst().slowness();
         if (slower && !slow) {
             slowSince = now;
         }
         slow = slower;
     }
 
-    /** How long work took on the VM at its best lately, 1 is as usual. */
+    /** Lowest recent service time on the VM, as a multiple of normal. */
     public double baseline() {
         return readings.isEmpty() ? 1 : readings.peekFirst().slowness();
     }
 
-    /** Whether the VM has ever told its slowness. */
+    /** Whether any reading has been recorded. */
     public boolean hasReading() {
-        return told;
+        return known;
     }
 
-    /** The slowness that was told last. */
+    /** The slowness of the last reading. */
     public double lastReading() {
         return last;
     }
 
-    /** Time since it was told. */
+    /** Age of the last reading. */
     public long readingAge(long now) {
-        return now - toldAt;
+        return now - readAt;
     }
 
-    /** Whether what was told last still holds. */
+    /** Whether the last reading is current. */
     public boolean isFresh(long now) {
-        return told && now - toldAt <= FRESH_MILLISECONDS;
+        return known && now - readAt <= MAX_FRESH_AGE_MILLISECONDS;
     }
 
-    /** How much later work ends that is started here now, or as soon as that is better. */
-    public double delayMilliseconds(double usualMilliseconds, double expectedSlowness, long now) {
+    /**
+     * Returns by how much work finishes later if it starts on this VM now, or after the current
+     * slowdown if that is sooner.
+     */
+    public double delayMilliseconds(double serviceMilliseconds, double expectedSlowness, long now) {
         if (isInSlowdown(now)) {
-            return Math.min(USUAL_WAIT_MILLISECONDS, usualMilliseconds * (last - baseline()));
+            return Math.min(
+                    TYPICAL_SLOWDOWN_MILLISECONDS, serviceMilliseconds * (last - baseline()));
         }
-        return usualMilliseconds * Math.max(0, last - Math.max(1, expectedSlowness));
+        return serviceMilliseconds * Math.max(0, last - Math.max(1, expectedSlowness));
     }
 
-    /** Whether the VM is slow now and is expected to be faster in a moment. */
+    /** Whether the VM is in a transient slowdown. */
     public boolean isInSlowdown(long now) {
-        return slow && now - slowSince < LONGEST_MOMENT_MILLISECONDS;
+        return slow && now - slowSince < MAX_SLOWDOWN_MILLISECONDS;
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/queueing/package-info.java
+++ b/core/src/main/java/org/damaskmoor/core/queueing/package-info.java
@@ -1,5 +1,5 @@
 /**
- * How calls wait beside an upstream that is full, and which are sent back.
+ * Queueing of calls in front of an upstream that is at its concurrency limit.
  *
  * <p>Start at {@link org.damaskmoor.core.queueing.AdmissionQueue}.
  */
--- a/core/src/test/java/org/damaskmoor/core/queueing/SlowdownDetectorTest.java
+++ b/core/src/test/java/org/damaskmoor/core/queueing/SlowdownDetectorTest.java
@@ -7,64 +7,64 @@
 
 class SlowdownDetectorTest {
     @Test
-    void should_tell_a_moment_from_lasting_slowness() {
+    void should_distinguish_a_transient_slowdown_from_lasting_slowness() {
         // given
-        SlowdownDetector moments = new SlowdownDetector();
-        moments.onReading(1, 0);
+        SlowdownDetector detector = new SlowdownDetector();
+        detector.onReading(1, 0);
 
         // when
-        moments.onReading(5, 100);
+        detector.onReading(5, 100);
 
         // then
-        assertThat(moments.isInSlowdown(150)).isTrue();
-        assertThat(moments.isInSlowdown(600)).isFalse();
+        assertThat(detector.isInSlowdown(150)).isTrue();
+        assertThat(detector.isInSlowdown(600)).isFalse();
     }
 
     @Test
-    void should_take_a_lasting_slowness_for_steady_once_the_best_is_long_ago() {
+    void should_raise_the_baseline_after_lasting_slowness() {
         // given
-        SlowdownDetector moments = new SlowdownDetector();
-        moments.onReading(1, 0);
+        SlowdownDetector detector = new SlowdownDetector();
+        detector.onReading(1, 0);
 
         // when
         for (long now = 100; now < 4000; now += 100) {
-            moments.onReading(5, now);
+            detector.onReading(5, now);
         }
 
         // then
-        assertThat(moments.baseline()).isEqualTo(5.0);
-        assertThat(moments.isInSlowdown(4000)).isFalse();
+        assertThat(detector.baseline()).isEqualTo(5.0);
+        assertThat(detector.isInSlowdown(4000)).isFalse();
     }
 
     @Test
-    void should_not_take_an_old_reading_for_fresh() {
+    void should_not_treat_an_old_reading_as_fresh() {
         // given
-        SlowdownDetector moments = new SlowdownDetector();
-        moments.onReading(1, 0);
+        SlowdownDetector detector = new SlowdownDetector();
+        detector.onReading(1, 0);
 
         // when, then
-        assertThat(moments.isFresh(5)).isTrue();
-        assertThat(moments.isFresh(50)).isFalse();
+        assertThat(detector.isFresh(5)).isTrue();
+        assertThat(detector.isFresh(50)).isFalse();
     }
 
     @Test
-    void should_delay_by_no_more_than_the_wait_for_the_end_of_a_moment() {
+    void should_limit_the_delay_to_the_wait_for_the_end_of_a_slowdown() {
         // given
-        SlowdownDetector moments = new SlowdownDetector();
-        moments.onReading(1, 0);
-        moments.onReading(5, 10);
+        SlowdownDetector detector = new SlowdownDetector();
+        detector.onReading(1, 0);
+        detector.onReading(5, 10);
 
         // when, then
-        assertThat(moments.delayMilliseconds(1000, 1, 10)).isLessThan(200.0);
-        assertThat(moments.delayMilliseconds(10, 1, 10)).isEqualTo(40.0);
+        assertThat(detector.delayMilliseconds(1000, 1, 10)).isLessThan(200.0);
+        assertThat(detector.delayMilliseconds(10, 1, 10)).isEqualTo(40.0);
     }
 
     /**
-     * Replays a VM that is five times slower in a quarter of its moments of 150 ms, where work
-     * keeps the speed it started with: the former way starts at once.
+     * Simulates a VM that is five times slower in a quarter of its 150 ms intervals, where work
+     * keeps the speed with which it started. The baseline starts all work at once.
      */
     @Test
-    void should_halve_the_time_of_work_on_a_vm_with_slow_moments() {
+    void should_reduce_the_time_of_work_on_a_vm_with_slowdowns() {
         // given
         SplittableRandom random = new SplittableRandom(20261204);
         double[] slowness = new double[4000];
@@ -73,24 +73,24 @@
         }
         double work = 220;
         double atOnce = 0;
-        double withMoments = 0;
+        double withDetector = 0;
         int calls = 2000;
-        SlowdownDetector moments = new SlowdownDetector();
+        SlowdownDetector detector = new SlowdownDetector();
 
         // when
         for (int call = 0; call < calls; call++) {
             long arrival = 200L * call;
             atOnce += work * slowness[(int) (arrival / 150)];
             long start = arrival;
-            moments.onReading(slowness[(int) (start / 150)], start);
-            while (moments.isInSlowdown(start)) {
+            detector.onReading(slowness[(int) (start / 150)], start);
+            while (detector.isInSlowdown(start)) {
                 start += 20;
-                moments.onReading(slowness[(int) (start / 150)], start);
+                detector.onReading(slowness[(int) (start / 150)], start);
             }
-            withMoments += start - arrival + work * slowness[(int) (start / 150)];
+            withDetector += start - arrival + work * slowness[(int) (start / 150)];
         }
 
         // then
-        assertThat(withMoments / atOnce).isLessThan(0.65);
+        assertThat(withDetector / atOnce).isLessThan(0.65);
     }
 }
