--- a/core/src/main/java/org/damaskmoor/core/admission/AdmissionController.java
+++ b/core/src/main/java/org/damaskmoor/core/admission/AdmissionController.java
@@ -6,54 +6,63 @@
 import org.damaskmoor.schema.mesh.UpstreamState;
 
 /**
- * Decides beside one upstream which requests are handed over, which wait and which are refused.
+ * Admission control in front of one upstream: decides which requests are forwarded, queued or
+ * refused.
  *
  * <pre>{@code
- * Offer offer = controller.offer(request, now);
- * // hand over, let wait or refuse; when one ended:
- * controller.finished(id, latency, AdmissionOutcome.ANSWERED, now);
- * NextAdmissions next = controller.next(now);
+ * AdmissionDecision decision = controller.offer(request, now);
+ * // forward, wait or refuse; whenever a forwarded request ends:
+ * controller.onFinished(id, latency, AdmissionOutcome.ANSWERED, now);
+ * DequeuedRequests dequeued = controller.dequeue(now);
  * }</pre>
  *
- * <p>Invariants: never more in flight than the limit, save for those handed over before it fell;
- * never more waiting than the queue limit; each offered request leaves once, either admitted,
- * refused or cancelled. A refused request was not handed over. Times are in nanoseconds of one
- * monotonic clock. Not thread-safe: one controller belongs to one thread.
+ * <p>Invariants: no more requests are in flight than the limit, except for those forwarded before
+ * the limit was lowered; no more requests wait than the queue limit; each offered request ends
+ * exactly once as admitted, refused or cancelled. A refused request was never forwarded. Times are
+ * in nanoseconds of one monotonic clock. Not thread-safe: use each controller from a single thread.
  */
 public interface AdmissionController {
-    /** A controller for an upstream that has not announced itself yet. */
+    /** Creates a controller for an upstream that has not announced itself yet. */
     static AdmissionController create(AdmissionOptions options) {
         return new UpstreamAdmissionController(options);
     }
 
-    /** The configuration has changed. */
+    /** Applies a changed configuration. */
     void configure(AdmissionOptions options);
 
-    /** The upstream announced itself, or its announcement lapsed ({@code ABSENT}). */
+    /**
+     * Called when the upstream announced itself, or when its announcement expired ({@code ABSENT}).
+     */
     void onUpstreamState(UpstreamState state, int slots, int connections);
 
-    /** Refuses new requests from now on; those that wait and those in flight still run. */
+    /** Refuses new requests from now on; waiting requests and those in flight still run. */
     void drain();
 
-    /** Whether nothing waits and nothing is in flight. */
+    /** Whether no request is waiting or in flight. */
     boolean isIdle();
 
-    /** A request asks to be handed over. An id must not be offered again while it is here. */
+    /**
+     * Decides on a new request. The id must differ from those of all requests that are waiting or
+     * in flight.
+     */
     AdmissionDecision offer(AdmissionRequest request, long nowNanoseconds);
 
     /**
-     * What may be handed over now, and what waited in vain. Call it after {@link #onFinished},
-     * after {@link #onUpstreamState}, and every few milliseconds while anything waits.
+     * Removes from the queue the requests that may be forwarded now, and those that can no longer
+     * be served. Call it after {@link #onFinished}, after {@link #onUpstreamState}, and every few
+     * milliseconds while requests are waiting.
      */
     DequeuedRequests dequeue(long nowNanoseconds);
 
-    /** Takes a waiting request out. False: it does not wait here. */
+    /** Removes a waiting request; returns false when it is not in the queue. */
     boolean cancel(RequestId id);
 
-    /** A request that was handed over ended, {@code latencyNanoseconds} after that. */
+    /**
+     * Called when a forwarded request has ended, {@code latencyNanoseconds} after it was forwarded.
+     */
     void onFinished(
             RequestId id, long latencyNanoseconds, AdmissionOutcome outcome, long nowNanoseconds);
 
-    /** The load of this instant. */
+    /** Returns the current load. */
     LoadReport loadReport(long nowNanoseconds);
 }
--- a/core/src/main/java/org/damaskmoor/core/admission/AdmissionDecision.java
+++ b/core/src/main/java/org/damaskmoor/core/admission/AdmissionDecision.java
@@ -2,18 +2,18 @@
 
 import java.util.List;
 
-/** What became of an offered request. Immutable and thread-safe. */
+/** The decision on an offered request. Immutable and thread-safe. */
 public sealed interface AdmissionDecision {
-    /** Hand it to the upstream now. */
+    /** The request is to be forwarded to the upstream now. */
     record Admitted() implements AdmissionDecision {}
 
     /**
-     * It waits.
+     * The request waits in the queue.
      *
-     * @param displaced requests that waited and are refused in favour of this one
+     * @param displaced waiting requests that are refused in favour of this one
      */
     record Queued(List<Refusal> displaced) implements AdmissionDecision {}
 
-    /** It is refused. */
+    /** The request is refused. */
     record Refused(Refusal refusal) implements AdmissionDecision {}
 }
--- a/core/src/main/java/org/damaskmoor/core/admission/AdmissionOptions.java
+++ b/core/src/main/java/org/damaskmoor/core/admission/AdmissionOptions.java
@@ -7,11 +7,13 @@
 import org.damaskmoor.schema.configuration.CallerWeight;
 
 /**
- * The admission settings in force beside one upstream. Immutable and thread-safe.
+ * The effective admission settings for one upstream. Immutable and thread-safe.
  *
- * @param concurrencyLimit most requests handed over at once; 0 means what the upstream announced
- * @param queueLimit most requests that wait
- * @param callerWeights shares when capacity is short; a caller not named has weight 1
+ * @param concurrencyLimit maximum number of requests in flight; 0 for the number that the upstream
+ *     announced
+ * @param queueLimit maximum number of waiting requests
+ * @param callerWeights weights of the callers' shares when capacity is short; other callers have
+ *     weight 1
  */
 public record AdmissionOptions(
         int concurrencyLimit, int queueLimit, Map<CallerName, Integer> callerWeights) {
@@ -19,7 +21,7 @@
         callerWeights = Map.copyOf(callerWeights);
     }
 
-    /** The options that an operator's policy sets. */
+    /** Returns the options set by the operator's policy. */
     public static AdmissionOptions of(AdmissionPolicy policy, int defaultQueueLimit) {
         Map<CallerName, Integer> weights = new TreeMap<>((a, b) -> a.value().compareTo(b.value()));
         for (CallerWeight entry : policy.getCallerWeightsList()) {
@@ -29,7 +31,7 @@
         return new AdmissionOptions(policy.getConcurrencyLimit(), queueLimit, weights);
     }
 
-    /** The weight of a caller's share. */
+    /** Returns the weight of a caller's share. */
     public int weightOf(CallerName caller) {
         return callerWeights.getOrDefault(caller, 1);
     }
--- a/core/src/main/java/org/damaskmoor/core/admission/AdmissionRequest.java
+++ b/core/src/main/java/org/damaskmoor/core/admission/AdmissionRequest.java
@@ -5,13 +5,13 @@
 import org.damaskmoor.core.id.RequestId;
 
 /**
- * A request that asks to be handed to the upstream. Immutable and thread-safe.
+ * A request offered to an {@link AdmissionController}. Immutable and thread-safe.
  *
- * @param id the request
- * @param caller who sent it
- * @param weight what it counts for in its caller's share; at least 1
- * @param importance from 0, shed first, to 3, shed last
- * @param deadlineNanoseconds when its answer is of no use any more, on the clock of all times
+ * @param id id of the request
+ * @param caller the caller that sent it
+ * @param weight how much it counts towards its caller's share; at least 1
+ * @param importance from 0 (shed first) to 3 (shed last)
+ * @param deadlineNanoseconds deadline of the request, on the controller's clock
  */
 public record AdmissionRequest(
         RequestId id, CallerName caller, int weight, int importance, long deadlineNanoseconds) {
--- a/core/src/main/java/org/damaskmoor/core/admission/Refusal.java
+++ b/core/src/main/java/org/damaskmoor/core/admission/Refusal.java
@@ -4,10 +4,10 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * A request that did not run here and never will. Immutable and thread-safe.
+ * The refusal of a request, which was not run and will not run here. Immutable and thread-safe.
  *
- * @param id the request
- * @param reason why
- * @param retryAfterMilliseconds when to try again, as an estimate
+ * @param id id of the request
+ * @param reason reason of the refusal
+ * @param retryAfterMilliseconds estimated time after which a retry may succeed
  */
 public record Refusal(RequestId id, RefusalReason reason, long retryAfterMilliseconds) {}
--- a/core/src/main/java/org/damaskmoor/core/admission/internal/CallerShares.java
+++ b/core/src/main/java/org/damaskmoor/core/admission/internal/CallerShares.java
@@ -7,14 +7,14 @@
 import org.damaskmoor.core.id.CallerName;
 
 /**
- * What each caller has here, waiting and in flight, and what is its share by weight.
+ * Tracks each caller's requests, waiting and in flight, against its weighted share.
  *
- * <p>A share is the caller's weight over the weights of all callers that have anything here. A
- * request counts with its own weight. Invariant: holds only callers that have something here. Not
- * thread-safe.
+ * <p>A caller's share is its weight divided by the weights of all active callers, those with
+ * requests that are waiting or in flight. Each request counts with its own weight. Invariant: holds
+ * active callers only. Not thread-safe.
  */
 final class CallerShares {
-    /** A caller may go so far over its share, because requests come in whole numbers. */
+    /** Tolerated use relative to the share, because requests are whole numbers. */
     private static final double TOLERANCE = 1.1;
 
     private final Map<CallerName, Long> used = new HashMap<>();
@@ -26,52 +26,53 @@
     }
 
     void remove(AdmissionRequest request) {
-        used.computeIfPresent(request.caller(), (unused, sum) -> less(sum, request.weight()));
+        used.computeIfPresent(request.caller(), (unused, sum) -> subtract(sum, request.weight()));
         total -= request.weight();
     }
 
     /** Whether one more request would put its caller over its share. */
-    boolean isOverShare(AdmissionRequest coming, AdmissionOptions options) {
-        long usedAfter = used.getOrDefault(coming.caller(), 0L) + coming.weight();
-        return excess(coming.caller(), usedAfter, coming, options) > TOLERANCE;
+    boolean isOverShare(AdmissionRequest arriving, AdmissionOptions options) {
+        long usedAfter = used.getOrDefault(arriving.caller(), 0L) + arriving.weight();
+        return relativeUse(arriving.caller(), usedAfter, arriving, options) > TOLERANCE;
     }
 
     /**
-     * The caller that is furthest over its share once one more request is here; null when all keep
-     * within theirs.
+     * Returns the caller that would be furthest over its share with one more request, or null when
+     * none would be over its share.
      */
-    CallerName mostOverShare(AdmissionRequest coming, AdmissionOptions options) {
-        CallerName furthest = null;
-        double most = TOLERANCE;
+    CallerName mostOverShare(AdmissionRequest arriving, AdmissionOptions options) {
+        CallerName mostOver = null;
+        double maxRelativeUse = TOLERANCE;
         for (Map.Entry<CallerName, Long> entry : used.entrySet()) {
-            double excess = excess(entry.getKey(), entry.getValue(), coming, options);
-            if (excess > most) {
-                furthest = entry.getKey();
-                most = excess;
+            double relativeUse = relativeUse(entry.getKey(), entry.getValue(), arriving, options);
+            if (relativeUse > maxRelativeUse) {
+                mostOver = entry.getKey();
+                maxRelativeUse = relativeUse;
             }
         }
-        return furthest;
+        return mostOver;
     }
 
-    /** What a caller uses as a part of its share; 1 is just its share. */
-    private double excess(
+    /** A caller's use relative to its share; 1 is exactly the share. */
+    private double relativeUse(
             CallerName caller,
             long usedByCaller,
-            AdmissionRequest coming,
+            AdmissionRequest arriving,
             AdmissionOptions options) {
-        double share = (double) options.weightOf(caller) / weights(coming, options);
-        return usedByCaller / (share * (total + coming.weight()));
+        double share = (double) options.weightOf(caller) / totalWeight(arriving, options);
+        return usedByCaller / (share * (total + arriving.weight()));
     }
 
-    private long weights(AdmissionRequest coming, AdmissionOptions options) {
-        long weights = used.containsKey(coming.caller()) ? 0 : options.weightOf(coming.caller());
+    private long totalWeight(AdmissionRequest arriving, AdmissionOptions options) {
+        long totalWeight =
+                used.containsKey(arriving.caller()) ? 0 : options.weightOf(arriving.caller());
         for (CallerName active : used.keySet()) {
-            weights += options.weightOf(active);
+            totalWeight += options.weightOf(active);
         }
-        return weights;
+        return totalWeight;
     }
 
-    private static Long less(long sum, int weight) {
+    private static Long subtract(long sum, int weight) {
         return sum <= weight ? null : Long.valueOf(sum - weight);
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/admission/internal/GradientConcurrencyLimit.java
+++ b/core/src/main/java/org/damaskmoor/core/admission/internal/GradientConcurrencyLimit.java
@@ -3,56 +3,59 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How many requests the upstream gets at once, between bounds that it announced.
+ * Adaptive concurrency limit for an upstream, at most the maximum that it announced.
  *
- * <p>The limit follows the gradient of latency: the slow mean of service time over its fast mean.
- * While the fast mean is within {@link #TOLERANCE} of the slow one, the limit grows by the square
- * root of itself each interval; above that it shrinks in proportion. Three things keep noise from
- * collapsing it: a mean of many samples decides, never a single one; one step takes away a fifth at
- * most; and latency alone never takes it below half of the maximum, because requests that wait here
- * can still be refused as "not run" and a slow upstream with idle slots only gets slower. The slow
- * mean follows lasting changes, so that an upstream that has become slower for good gets its full
- * limit back. Only requests that the upstream itself sheds take the limit further down, to 1.
- * Whatever lowered it, it grows by one each second in which nothing lowers it, so that an upstream
- * to which hardly any request is sent any more is not left with a small limit for good.
+ * <p>The limit follows the latency gradient: the long-term mean of service time divided by the
+ * short-term mean. While the short-term mean is at most {@link #TOLERANCE} times the long-term
+ * mean, the limit grows by its square root each interval; above that it shrinks in proportion.
+ * Three rules keep noise from collapsing the limit: only a mean of many samples changes it; one
+ * step reduces it by at most a fifth; and latency alone never reduces it below half of the maximum,
+ * because queued requests can still be refused as "not run" and leaving slots of a slow upstream
+ * idle only makes it slower. The long-term mean follows lasting changes, so an upstream that has
+ * become permanently slower regains its full limit. Only requests shed by the upstream itself
+ * reduce the limit further, down to 1. After any reduction the limit grows by one each second
+ * without a further one, so that an upstream that receives few requests does not keep a small
+ * limit.
  *
- * <p>Invariant: from 1 to the maximum. Not thread-safe.
+ * <p>Invariant: the limit is between 1 and the maximum. Not thread-safe.
  */
 final class GradientConcurrencyLimit {
     private static final double TOLERANCE = 2.0;
-    private static final double LEAST_STEP = 0.8;
-    private static final double SHED_STEP = 0.9;
-    private static final double LATENCY_FLOOR_SHARE = 0.5;
-    private static final double SLOW_MEAN_RISE_WEIGHT = 0.01;
-    private static final double SLOW_MEAN_FALL_WEIGHT = 0.1;
+    private static final double MIN_STEP_FACTOR = 0.8;
+    private static final double SHED_FACTOR = 0.9;
+    private static final double LATENCY_FLOOR_FRACTION = 0.5;
+    private static final double LONG_TERM_RISE_WEIGHT = 0.01;
+    private static final double LONG_TERM_FALL_WEIGHT = 0.1;
     private static final int SAMPLES_PER_INTERVAL = 20;
     private static final long RECOVERY_INTERVAL_NANOSECONDS = TimeUnit.SECONDS.toNanos(1);
     private static final long SHED_INTERVAL_NANOSECONDS = TimeUnit.MILLISECONDS.toNanos(20);
 
     private int maximum = 1;
     private double limit = 1;
-    private double slowMeanNanoseconds;
+    private double longTermMeanNanoseconds;
     private double sumNanoseconds;
     private int samples;
-    private int mostInFlight;
+    private int maxInFlight;
     private boolean lowered;
-    private boolean shedSeen;
+    private boolean everShed;
     private long shedAtNanoseconds;
     private long changedAtNanoseconds;
 
-    /** The limit in whole requests. */
+    /** The limit as a whole number of requests. */
     int value() {
         return Math.max(1, (int) Math.floor(limit + 1e-9));
     }
 
-    /** Sets the maximum. A first or raised one is granted at once. */
+    /**
+     * Sets the maximum. When the maximum is raised, the limit is raised by the same amount at once.
+     */
     void setMaximum(int newMaximum) {
         int bounded = Math.max(1, newMaximum);
         limit = bounded > maximum ? limit + (bounded - maximum) : Math.min(limit, bounded);
         maximum = bounded;
     }
 
-    /** Lets time raise a lowered limit. */
+    /** Raises a lowered limit according to the time passed. */
     void recover(long now) {
         if (limit >= maximum) {
             lowered = false;
@@ -69,49 +72,59 @@
         }
     }
 
-    /** A whole answer came while {@code inFlight} requests, itself included, were out. */
+    /**
+     * Records a complete answer, received while {@code inFlight} requests including the answered
+     * one were in flight.
+     */
     void onAnswered(long latencyNanoseconds, int inFlight) {
         sumNanoseconds += latencyNanoseconds;
         samples++;
-        mostInFlight = Math.max(mostInFlight, inFlight);
+        maxInFlight = Math.max(maxInFlight, inFlight);
         if (samples >= SAMPLES_PER_INTERVAL) {
             adapt(sumNanoseconds / samples);
             sumNanoseconds = 0;
             samples = 0;
-            mostInFlight = 0;
+            maxInFlight = 0;
         }
     }
 
-    /** The upstream shed a request. Those that it sheds together count once. */
+    /**
+     * Lowers the limit because the upstream shed a request. Requests shed within one interval count
+     * once.
+     */
     void onShed(long now) {
-        if (shedSeen && now - shedAtNanoseconds < SHED_INTERVAL_NANOSECONDS) {
+        if (everShed && now - shedAtNanoseconds < SHED_INTERVAL_NANOSECONDS) {
             return;
         }
-        shedSeen = true;
+        everShed = true;
         shedAtNanoseconds = now;
-        limit = Math.max(1, limit * SHED_STEP);
+        limit = Math.max(1, limit * SHED_FACTOR);
         lowered = true;
         changedAtNanoseconds = now;
     }
 
-    private void adapt(double fastMeanNanoseconds) {
-        if (slowMeanNanoseconds == 0) {
-            slowMeanNanoseconds = fastMeanNanoseconds;
+    private void adapt(double shortTermMeanNanoseconds) {
+        if (longTermMeanNanoseconds == 0) {
+            longTermMeanNanoseconds = shortTermMeanNanoseconds;
         }
-        double gradient = TOLERANCE * slowMeanNanoseconds / Math.max(1, fastMeanNanoseconds);
-        follow(fastMeanNanoseconds);
+        double gradient =
+                TOLERANCE * longTermMeanNanoseconds / Math.max(1, shortTermMeanNanoseconds);
+        updateLongTermMean(shortTermMeanNanoseconds);
         if (gradient < 1) {
-            double floor = Math.min(limit, Math.max(1, maximum * LATENCY_FLOOR_SHARE));
-            limit = Math.max(floor, limit * Math.max(LEAST_STEP, gradient));
-        } else if (2 * mostInFlight >= value()) {
+            double floor = Math.min(limit, Math.max(1, maximum * LATENCY_FLOOR_FRACTION));
+            limit = Math.max(floor, limit * Math.max(MIN_STEP_FACTOR, gradient));
+        } else if (2 * maxInFlight >= value()) {
             limit = Math.min(maximum, limit + Math.sqrt(limit));
         }
     }
 
-    /** Falls faster than it rises, because latency has a floor but no ceiling. */
-    private void follow(double fastMeanNanoseconds) {
-        double difference = fastMeanNanoseconds - slowMeanNanoseconds;
-        double weight = difference < 0 ? SLOW_MEAN_FALL_WEIGHT : SLOW_MEAN_RISE_WEIGHT;
-        slowMeanNanoseconds += weight * difference;
+    /**
+     * Updates the long-term mean. It falls faster than it rises, because latency has a lower bound
+     * but no upper bound.
+     */
+    private void updateLongTermMean(double shortTermMeanNanoseconds) {
+        double difference = shortTermMeanNanoseconds - longTermMeanNanoseconds;
+        double weight = difference < 0 ? LONG_TERM_FALL_WEIGHT : LONG_TERM_RISE_WEIGHT;
+        longTermMeanNanoseconds += weight * difference;
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/admission/internal/RequestQueue.java
+++ b/core/src/main/java/org/damaskmoor/core/admission/internal/RequestQueue.java
@@ -7,10 +7,10 @@
 import org.damaskmoor.core.id.RequestId;
 
 /**
- * Requests that wait, in the order in which they are to be handed over.
+ * Waiting requests in the order in which they will be forwarded.
  *
- * <p>A sorted array with the first at its end: a few hundred requests at most, so that moving them
- * costs less than the nodes of a tree. Not thread-safe.
+ * <p>A sorted array list with the first request at its end. With at most a few hundred requests,
+ * shifting elements is cheaper than allocating tree nodes. Not thread-safe.
  */
 final class RequestQueue {
     private final List<QueuedRequest> ascending = new ArrayList<>();
@@ -23,7 +23,7 @@
         return ascending.isEmpty();
     }
 
-    /** How many would be handed over before the given one. */
+    /** Returns how many requests would be forwarded before the given one. */
     int countAhead(QueuedRequest waiting) {
         return ascending.size() - insertionPoint(waiting);
     }
@@ -32,7 +32,7 @@
         ascending.add(insertionPoint(waiting), waiting);
     }
 
-    /** The one to be handed over first. */
+    /** Returns the request that will be forwarded first. */
     QueuedRequest first() {
         return ascending.get(ascending.size() - 1);
     }
@@ -41,7 +41,7 @@
         return ascending.remove(ascending.size() - 1);
     }
 
-    /** The one to be handed over last among those that match, or null. */
+    /** Returns the matching request that would be forwarded last, or null. */
     QueuedRequest findLast(Predicate<QueuedRequest> matching) {
         for (QueuedRequest waiting : ascending) {
             if (matching.test(waiting)) {
@@ -55,7 +55,7 @@
         ascending.remove(waiting);
     }
 
-    /** Takes out the request with the given id, or returns null. */
+    /** Removes and returns the request with the given id, or returns null when it is absent. */
     QueuedRequest remove(RequestId id) {
         QueuedRequest found = findLast(waiting -> waiting.request().id().equals(id));
         if (found != null) {
@@ -64,7 +64,7 @@
         return found;
     }
 
-    /** Takes out all that match, the first to be handed over first. */
+    /** Removes and returns all matching requests, in forwarding order. */
     List<QueuedRequest> removeAll(Predicate<QueuedRequest> matching) {
         List<QueuedRequest> removed = new ArrayList<>();
         ascending.removeIf(waiting -> matching.test(waiting) && removed.add(waiting));
--- a/core/src/main/java/org/damaskmoor/core/admission/internal/ServiceTimeTracker.java
+++ b/core/src/main/java/org/damaskmoor/core/admission/internal/ServiceTimeTracker.java
@@ -6,60 +6,64 @@
 import org.damaskmoor.core.id.RequestId;
 
 /**
- * Requests in flight, and the recent typical service time.
+ * Tracks the requests in flight and the typical recent service time.
  *
- * <p>The typical time is never below the mean age of what is in flight, so that an upstream that
- * has just become slow shows before its next answer. Not thread-safe.
+ * <p>The typical time is at least the mean age of the requests in flight, up to a bound, so that a
+ * stalled upstream is noticed before its next answer. Not thread-safe.
  */
 final class ServiceTimeTracker {
-    private static final double NEWS_WEIGHT = 0.1;
+    private static final double SAMPLE_WEIGHT = 0.1;
 
-    /** Some requests take long by nature; their age says only so much of the upstream. */
-    private static final double MOST_MEANS_OF_AGE = 10;
+    /**
+     * Caps the mean age at this many mean service times, because some requests are long by nature.
+     */
+    private static final double MAX_AGE_MEANS = 10;
 
-    private final Map<RequestId, Flight> flights = new HashMap<>();
+    private final Map<RequestId, InFlight> inFlightById = new HashMap<>();
     private double meanNanoseconds;
     private long sumOfStartsNanoseconds;
 
-    private record Flight(AdmissionRequest request, long startedAtNanoseconds) {}
+    private record InFlight(AdmissionRequest request, long startedAtNanoseconds) {}
 
     int inFlight() {
-        return flights.size();
+        return inFlightById.size();
     }
 
     void onStarted(AdmissionRequest request, long now) {
-        flights.put(request.id(), new Flight(request, now));
+        inFlightById.put(request.id(), new InFlight(request, now));
         sumOfStartsNanoseconds += now;
     }
 
-    /** The request that ended, or null when it was not in flight. */
+    /** Returns the request that ended, or null when it was not in flight. */
     AdmissionRequest onEnded(RequestId id) {
-        Flight flight = flights.remove(id);
-        if (flight == null) {
+        InFlight inFlight = inFlightById.remove(id);
+        if (inFlight == null) {
             return null;
         }
-        sumOfStartsNanoseconds -= flight.startedAtNanoseconds;
-        return flight.request;
+        sumOfStartsNanoseconds -= inFlight.startedAtNanoseconds;
+        return inFlight.request;
     }
 
     void onAnswered(long latencyNanoseconds) {
-        double weight = meanNanoseconds == 0 ? 1 : NEWS_WEIGHT;
+        double weight = meanNanoseconds == 0 ? 1 : SAMPLE_WEIGHT;
         meanNanoseconds += weight * (latencyNanoseconds - meanNanoseconds);
     }
 
-    /** Mean of recent service times, or 0 when none is known. */
+    /** Moving average of service times, or 0 before the first answer. */
     double meanNanoseconds() {
         return meanNanoseconds;
     }
 
-    /** The mean, or the mean age of what is in flight if that is more. */
+    /**
+     * The mean service time, or the bounded mean age of the requests in flight if that is greater.
+     */
     double typicalNanoseconds(long now) {
-        int count = flights.size();
+        int count = inFlightById.size();
         if (count == 0) {
             return meanNanoseconds;
         }
         double age = (double) (count * now - sumOfStartsNanoseconds) / count;
-        double most = meanNanoseconds == 0 ? age : MOST_MEANS_OF_AGE * meanNanoseconds;
-        return Math.max(meanNanoseconds, Math.min(age, most));
+        double maxAge = meanNanoseconds == 0 ? age : MAX_AGE_MEANS * meanNanoseconds;
+        return Math.max(meanNanoseconds, Math.min(age, maxAge));
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/admission/internal/UpstreamAdmissionController.java
+++ b/core/src/main/java/org/damaskmoor/core/admission/internal/UpstreamAdmissionController.java
@@ -17,17 +17,22 @@
 import org.damaskmoor.schema.mesh.UpstreamState;
 
 /**
- * Admission beside one upstream: a concurrency limit, a bounded queue, and shares between callers.
+ * Admission control for one upstream: a concurrency limit, a bounded queue, and weighted shares
+ * between callers.
  *
- * <p>A request occupies one of the upstream's slots whatever its weight; its weight counts in its
- * caller's share. Capacity is short while the queue is at least half full. Not thread-safe.
+ * <p>Each request occupies one slot of the upstream regardless of its weight, which counts only
+ * towards its caller's share. Capacity is short while the queue is at least half full. Not
+ * thread-safe.
  */
 public final class UpstreamAdmissionController implements AdmissionController {
-    /** A request expected to wait longer is better tried elsewhere. */
-    private static final long LONGEST_WAIT_NANOSECONDS = TimeUnit.MILLISECONDS.toNanos(500);
+    /**
+     * A request that is expected to wait longer than this is refused, so that it can be tried
+     * elsewhere.
+     */
+    private static final long MAX_WAIT_NANOSECONDS = TimeUnit.MILLISECONDS.toNanos(500);
 
-    private static final double FAILURE_NEWS_WEIGHT = 0.1;
-    private static final long LEAST_RETRY_AFTER_MILLISECONDS = 10;
+    private static final double FAILURE_SAMPLE_WEIGHT = 0.1;
+    private static final long MIN_RETRY_AFTER_MILLISECONDS = 10;
     private static final long RETRY_AFTER_ABSENCE_MILLISECONDS = 1000;
     private static final double PER_THOUSAND = 1000;
 
@@ -78,7 +83,7 @@
         limit.recover(now);
         QueuedRequest waiting = new QueuedRequest(request, sequence++, now);
         int ahead = queue.countAhead(waiting);
-        RefusalReason reason = reasonAgainst(request, ahead, now);
+        RefusalReason reason = reasonToRefuse(request, ahead, now);
         if (reason != null) {
             return new AdmissionDecision.Refused(refusal(request, reason, now));
         }
@@ -87,7 +92,7 @@
             serviceTime.onStarted(request, now);
             return new AdmissionDecision.Admitted();
         }
-        return queued(waiting, now);
+        return enqueue(waiting, now);
     }
 
     @Override
@@ -95,9 +100,10 @@
         limit.recover(now);
         List<Refusal> refused = new ArrayList<>();
         List<AdmissionRequest> admitted = new ArrayList<>();
-        for (QueuedRequest waiting : queue.removeAll(each -> reasonWaiting(each, now) != null)) {
+        for (QueuedRequest waiting :
+                queue.removeAll(each -> reasonToRefuseWaiting(each, now) != null)) {
             shares.remove(waiting.request());
-            refused.add(refusal(waiting.request(), reasonWaiting(waiting, now), now));
+            refused.add(refusal(waiting.request(), reasonToRefuseWaiting(waiting, now), now));
         }
         while (!queue.isEmpty() && hasSlot()) {
             AdmissionRequest request = queue.removeFirst().request();
@@ -128,12 +134,12 @@
             case ANSWERED -> {
                 limit.onAnswered(latency, inFlight);
                 serviceTime.onAnswered(latency);
-                learnFailure(0);
+                updateFailureRate(0);
             }
-            case FAILED -> learnFailure(1);
+            case FAILED -> updateFailureRate(1);
             case SHED -> limit.onShed(now);
             default -> {
-                // a cancelled request says nothing about the upstream
+                // A cancelled request says nothing about the upstream.
             }
         }
     }
@@ -153,16 +159,16 @@
     }
 
     private int maximum() {
-        int wanted = options.concurrencyLimit() > 0 ? options.concurrencyLimit() : slots;
-        return Math.min(wanted, connections);
+        int configured = options.concurrencyLimit() > 0 ? options.concurrencyLimit() : slots;
+        return Math.min(configured, connections);
     }
 
     private boolean hasSlot() {
         return serviceTime.inFlight() < limit.value();
     }
 
-    /** Why a request that has just come cannot be taken, or null. */
-    private RefusalReason reasonAgainst(AdmissionRequest request, int ahead, long now) {
+    /** Returns the reason to refuse a new request, or null to accept it. */
+    private RefusalReason reasonToRefuse(AdmissionRequest request, int ahead, long now) {
         if (draining || state == UpstreamState.LEAVING) {
             return RefusalReason.DRAINING;
         }
@@ -176,18 +182,18 @@
         if (wait + expectedServiceNanoseconds() > request.deadlineNanoseconds() - now) {
             return RefusalReason.DEADLINE_TOO_SHORT;
         }
-        if (wait > LONGEST_WAIT_NANOSECONDS) {
+        if (wait > MAX_WAIT_NANOSECONDS) {
             return RefusalReason.OVERLOADED;
         }
-        boolean overShare = capacityShort() && shares.isOverShare(request, options);
-        if (overShare && !lessImportantWaits(request)) {
+        boolean overShare = isCapacityShort() && shares.isOverShare(request, options);
+        if (overShare && !hasLessImportantWaiting(request)) {
             return RefusalReason.CALLER_OVER_SHARE;
         }
         return null;
     }
 
-    /** Why a request that waits has waited in vain, or null. */
-    private RefusalReason reasonWaiting(QueuedRequest waiting, long now) {
+    /** Returns the reason to refuse a waiting request, or null to keep it. */
+    private RefusalReason reasonToRefuseWaiting(QueuedRequest waiting, long now) {
         if (state == UpstreamState.ABSENT) {
             return RefusalReason.UPSTREAM_UNREACHABLE;
         }
@@ -198,16 +204,16 @@
         if (remaining < expectedServiceNanoseconds()) {
             return RefusalReason.DEADLINE_TOO_SHORT;
         }
-        if (now - waiting.queuedAtNanoseconds() > 2 * LONGEST_WAIT_NANOSECONDS) {
+        if (now - waiting.queuedAtNanoseconds() > 2 * MAX_WAIT_NANOSECONDS) {
             return RefusalReason.OVERLOADED;
         }
         return null;
     }
 
-    private AdmissionDecision queued(QueuedRequest waiting, long now) {
+    private AdmissionDecision enqueue(QueuedRequest waiting, long now) {
         List<Refusal> displaced = List.of();
         if (queue.size() >= options.queueLimit()) {
-            Refusal refusal = displacedBy(waiting, now);
+            Refusal refusal = displaceFor(waiting, now);
             if (refusal == null) {
                 Refusal full = refusal(waiting.request(), RefusalReason.QUEUE_FULL, now);
                 return new AdmissionDecision.Refused(full);
@@ -219,8 +225,10 @@
         return new AdmissionDecision.Queued(displaced);
     }
 
-    /** Makes room: first from less important requests, then from a caller over its share. */
-    private Refusal displacedBy(QueuedRequest waiting, long now) {
+    /**
+     * Displaces a waiting request: first a less important one, then one of a caller over its share.
+     */
+    private Refusal displaceFor(QueuedRequest waiting, long now) {
         int importance = waiting.request().importance();
         RefusalReason reason = RefusalReason.OVERLOADED;
         QueuedRequest victim = queue.findLast(other -> other.request().importance() < importance);
@@ -247,21 +255,24 @@
                                 && other.request().importance() <= request.importance());
     }
 
-    private boolean lessImportantWaits(AdmissionRequest request) {
+    private boolean hasLessImportantWaiting(AdmissionRequest request) {
         int importance = request.importance();
         return queue.findLast(other -> other.request().importance() < importance) != null;
     }
 
-    private boolean capacityShort() {
+    private boolean isCapacityShort() {
         return queue.size() > 0 && 2 * queue.size() >= options.queueLimit();
     }
 
-    /** An idle upstream always gets a request, so that a mean from worse times is unlearnt. */
+    /**
+     * Returns 0 for an idle upstream, so that it always gets a request and an outdated mean is
+     * corrected.
+     */
     private double expectedServiceNanoseconds() {
         return serviceTime.inFlight() == 0 ? 0 : serviceTime.meanNanoseconds();
     }
 
-    /** Time until a request with so many ahead of it is handed over. */
+    /** Expected time until a request with {@code ahead} requests before it is forwarded. */
     private double waitNanoseconds(int ahead) {
         if (queue.isEmpty() && hasSlot()) {
             return 0;
@@ -273,7 +284,7 @@
         return new Refusal(request.id(), reason, retryAfterMilliseconds(now));
     }
 
-    /** Time in which what waits here now should be done. */
+    /** Expected time until the requests waiting and in flight now have finished. */
     private long retryAfterMilliseconds(long now) {
         if (state == UpstreamState.ABSENT) {
             return RETRY_AFTER_ABSENCE_MILLISECONDS;
@@ -281,10 +292,10 @@
         double rounds = (double) (queue.size() + serviceTime.inFlight()) / limit.value();
         double nanoseconds = rounds * serviceTime.typicalNanoseconds(now);
         long milliseconds = TimeUnit.NANOSECONDS.toMillis((long) nanoseconds);
-        return Math.max(LEAST_RETRY_AFTER_MILLISECONDS, milliseconds);
+        return Math.max(MIN_RETRY_AFTER_MILLISECONDS, milliseconds);
     }
 
-    private void learnFailure(double outcome) {
-        failureRate += FAILURE_NEWS_WEIGHT * (outcome - failureRate);
+    private void updateFailureRate(double outcome) {
+        failureRate += FAILURE_SAMPLE_WEIGHT * (outcome - failureRate);
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/admission/package-info.java
+++ b/core/src/main/java/org/damaskmoor/core/admission/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Decisions beside an upstream: hand a request over, let it wait, or refuse it.
+ * Admission control in front of an upstream: forward, queue or refuse a request.
  *
  * <p>Start at {@link org.damaskmoor.core.admission.AdmissionController}.
  */
--- a/core/src/test/java/org/damaskmoor/core/admission/AdmissionControllerTest.java
+++ b/core/src/test/java/org/damaskmoor/core/admission/AdmissionControllerTest.java
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void should_refuse_at_once_what_cannot_finish_within_its_deadline() {
+    void should_refuse_a_request_that_cannot_finish_within_its_deadline() {
         // given
         AdmissionFixture fixture = new AdmissionFixture(2, 100);
         fixture.answer(20, 40);
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void should_give_an_idle_upstream_a_request_whatever_its_past_latency() {
+    void should_admit_a_request_to_an_idle_upstream_regardless_of_past_latency() {
         // given
         AdmissionFixture fixture = new AdmissionFixture(2, 100);
         fixture.answer(40, 2000);
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void should_shed_the_less_important_in_favour_of_the_more_important() {
+    void should_displace_a_less_important_request_for_a_more_important_one() {
         // given
         AdmissionFixture fixture = new AdmissionFixture(1, 2);
         fixture.offer();
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void should_hold_each_caller_to_its_share_when_short() {
+    void should_limit_each_caller_to_its_share_when_capacity_is_short() {
         // given
         AdmissionFixture fixture =
                 new AdmissionFixture(1, new AdmissionOptions(0, 20, Map.of(RESIDENTS, 3)));
@@ -132,7 +132,7 @@
     }
 
     @Test
-    void should_run_what_waits_and_refuse_what_is_new_when_draining() {
+    void should_run_waiting_requests_and_refuse_new_ones_when_draining() {
         // given
         AdmissionFixture fixture = new AdmissionFixture(1, 10);
         fixture.offer();
@@ -146,7 +146,7 @@
 
         // then
         assertThat(reason(late)).isEqualTo(RefusalReason.DRAINING);
-        assertThat(fixture.next().admitted()).containsExactly(waiting);
+        assertThat(fixture.dequeue().admitted()).containsExactly(waiting);
         assertThat(report(fixture).getState()).isEqualTo(UpstreamState.LEAVING);
         fixture.finishOne(5, AdmissionOutcome.ANSWERED);
         assertThat(fixture.controller.isIdle()).isTrue();
@@ -164,7 +164,7 @@
         fixture.advance(21);
 
         // then
-        Refusal refusal = fixture.next().refused().get(0);
+        Refusal refusal = fixture.dequeue().refused().get(0);
         assertThat(refusal.id()).isEqualTo(waiting.id());
         assertThat(refusal.reason()).isEqualTo(RefusalReason.DEADLINE_PASSED);
     }
@@ -222,7 +222,7 @@
     }
 
     @Test
-    void should_restore_the_limit_with_time_when_hardly_any_request_comes() {
+    void should_restore_the_limit_over_time_when_few_requests_arrive() {
         // given
         AdmissionFixture fixture = new AdmissionFixture(10, 100);
         for (int i = 0; i < 100; i++) {
@@ -258,11 +258,11 @@
         return fixture.controller.loadReport(fixture.now);
     }
 
-    private static Refusal refusal(AdmissionDecision offer) {
-        return assertInstanceOf(AdmissionDecision.Refused.class, offer).refusal();
+    private static Refusal refusal(AdmissionDecision decision) {
+        return assertInstanceOf(AdmissionDecision.Refused.class, decision).refusal();
     }
 
-    private static RefusalReason reason(AdmissionDecision offer) {
-        return refusal(offer).reason();
+    private static RefusalReason reason(AdmissionDecision decision) {
+        return refusal(decision).reason();
     }
 }
--- a/core/src/test/java/org/damaskmoor/core/admission/AdmissionDifferentialTest.java
+++ b/core/src/test/java/org/damaskmoor/core/admission/AdmissionDifferentialTest.java
@@ -12,18 +12,18 @@
 import org.damaskmoor.core.id.CallerName;
 import org.damaskmoor.schema.mesh.LoadReport;
 
-/** The controller beside a plain list that is sorted anew for each hand-over. */
+/** Compares the controller with a plain list that is sorted before each dequeue. */
 class AdmissionDifferentialTest {
     private static final int STEPS = 200;
 
     private long start;
-    private final Comparator<AdmissionRequest> byTurn =
+    private final Comparator<AdmissionRequest> byPrecedence =
             Comparator.comparingInt((AdmissionRequest request) -> -request.importance())
                     .thenComparingLong(request -> request.deadlineNanoseconds() - start)
                     .thenComparingLong(request -> request.id().sequence());
 
     @Property(seed = "1")
-    void should_hand_over_as_a_sorted_list_would_and_lose_no_request(
+    void should_dequeue_in_the_order_of_a_sorted_list_and_lose_no_request(
             @ForAll long seed,
             @ForAll @IntRange(min = 1, max = 4) int slots,
             @ForAll @IntRange(max = 8) int queueLimit) {
@@ -54,7 +54,7 @@
             assertThat(fixture.controller.cancel(cancelled.id())).isTrue();
         } else if (!fixture.running.isEmpty()) {
             fixture.finishOne(random.nextInt(20), AdmissionOutcome.ANSWERED);
-            next(fixture, waiting);
+            dequeue(fixture, waiting);
         }
     }
 
@@ -65,23 +65,23 @@
 
     private static void offer(
             AdmissionRequest request, AdmissionFixture fixture, List<AdmissionRequest> waiting) {
-        AdmissionDecision offer = fixture.offer(request);
-        if (offer instanceof AdmissionDecision.Queued queued) {
+        AdmissionDecision decision = fixture.offer(request);
+        if (decision instanceof AdmissionDecision.Queued queued) {
             for (Refusal displaced : queued.displaced()) {
                 AdmissionRequest victim = remove(waiting, displaced);
                 assertThat(victim.importance()).isAtMost(request.importance());
             }
             waiting.add(request);
-        } else if (offer instanceof AdmissionDecision.Admitted) {
+        } else if (decision instanceof AdmissionDecision.Admitted) {
             assertThat(waiting).isEmpty();
         }
     }
 
-    private void next(AdmissionFixture fixture, List<AdmissionRequest> waiting) {
-        DequeuedRequests next = fixture.next();
-        next.refused().forEach(refusal -> remove(waiting, refusal));
-        waiting.sort(byTurn);
-        for (AdmissionRequest admitted : next.admitted()) {
+    private void dequeue(AdmissionFixture fixture, List<AdmissionRequest> waiting) {
+        DequeuedRequests dequeued = fixture.dequeue();
+        dequeued.refused().forEach(refusal -> remove(waiting, refusal));
+        waiting.sort(byPrecedence);
+        for (AdmissionRequest admitted : dequeued.admitted()) {
             assertThat(admitted).isEqualTo(waiting.remove(0));
             assertThat(admitted.deadlineNanoseconds() - fixture.now).isGreaterThan(0);
         }
--- a/core/src/test/java/org/damaskmoor/core/admission/AdmissionFixture.java
+++ b/core/src/test/java/org/damaskmoor/core/admission/AdmissionFixture.java
@@ -10,7 +10,10 @@
 import org.damaskmoor.core.id.RequestId;
 import org.damaskmoor.schema.mesh.UpstreamState;
 
-/** A controller beside an upstream of some slots, with its clock and short ways to feed it. */
+/**
+ * An admission controller for an upstream with a given number of slots, with a manual clock and
+ * helper methods.
+ */
 final class AdmissionFixture {
     static final long MILLISECOND = TimeUnit.MILLISECONDS.toNanos(1);
     static final CallerName RESIDENTS = new CallerName("residents");
@@ -42,21 +45,21 @@
     }
 
     AdmissionDecision offer(AdmissionRequest request) {
-        AdmissionDecision offer = controller.offer(request, now);
-        if (offer instanceof AdmissionDecision.Admitted) {
+        AdmissionDecision decision = controller.offer(request, now);
+        if (decision instanceof AdmissionDecision.Admitted) {
             running.add(request.id());
         }
-        return offer;
+        return decision;
     }
 
     AdmissionDecision offer() {
         return offer(request());
     }
 
-    DequeuedRequests next() {
-        DequeuedRequests next = controller.dequeue(now);
-        next.admitted().forEach(request -> running.add(request.id()));
-        return next;
+    DequeuedRequests dequeue() {
+        DequeuedRequests dequeued = controller.dequeue(now);
+        dequeued.admitted().forEach(request -> running.add(request.id()));
+        return dequeued;
     }
 
     void advance(long milliseconds) {
@@ -67,7 +70,7 @@
         controller.onFinished(running.remove(0), latencyMilliseconds * MILLISECOND, outcome, now);
     }
 
-    /** Lets the upstream answer so many requests, each with all slots taken. */
+    /** Lets the upstream answer {@code count} requests, each while all slots are in use. */
     void answer(int count, long latencyMilliseconds) {
         for (int i = 0; i < count; i++) {
             while (running.size() < controller.loadReport(now).getLimit()) {
