--- a/core/src/main/java/org/damaskmoor/core/load/MeasurementBudget.java
+++ b/core/src/main/java/org/damaskmoor/core/load/MeasurementBudget.java
@@ -5,27 +5,31 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Keeps the bytes that a node spends on measuring load within a rate, and counts them by kind.
+ * Limits the rate of bytes that a node spends on measuring load, and counts them by kind.
  *
  * <pre>{@code
- * if (budget.trySpend(MeasuringKind.PROBE, probe.getSerializedSize(), now)) {
+ * if (budget.trySpend(MeasurementKind.PROBE, probe.getSerializedSize(), now)) {
  *     send(probe);
  * }
  * }</pre>
  *
- * <p>A token bucket. Probes leave half of it to reports and summaries, which say more for each
- * byte. Invariant: in any span of time no more is spent than the burst and the rate times the span.
- * Times are in nanoseconds of one monotonic clock. Not thread-safe.
+ * <p>A token bucket. Probes may use only half of it; the rest is reserved for reports and
+ * summaries, which carry more information per byte. Invariant: in any span of time, no more is
+ * spent than the burst plus the rate times the span. Times are in nanoseconds of one monotonic
+ * clock. Not thread-safe.
  */
 public final class MeasurementBudget {
-    /** Of the 3 KB a second that a node may use for control, what measuring load may take. */
+    /**
+     * Budget for measuring load, out of the 3 KB per second that a node may use for control
+     * traffic.
+     */
     public static final long NODE_BYTES_PER_SECOND = 2048;
 
-    /** A hundredth of a link of 30 Mbit/s, to be divided among the nodes of a region. */
+    /** One percent of a link of 30 Mbit/s, shared by the nodes of a region. */
     public static final long PAID_LINK_BYTES_PER_SECOND = 37_500;
 
     private static final long BURST_SECONDS = 1;
-    private static final double SHARE_KEPT_FROM_PROBES = 0.5;
+    private static final double SHARE_RESERVED_FOR_REPORTS = 0.5;
     private static final double NANOSECONDS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
     private final long bytesPerSecond;
@@ -33,31 +37,32 @@
     private final Map<MeasurementKind, Long> spentBytes = new EnumMap<>(MeasurementKind.class);
     private final Map<MeasurementKind, Long> deniedBytes = new EnumMap<>(MeasurementKind.class);
     private double tokens;
-    private long filledAtNanoseconds;
+    private long refilledAtNanoseconds;
 
     /**
-     * A full bucket.
+     * Creates a budget with a full bucket.
      *
-     * @param bytesPerSecond the rate; 0 forbids all measuring
+     * @param bytesPerSecond the rate; 0 forbids all measurement traffic
      */
     public MeasurementBudget(long bytesPerSecond, long nowNanoseconds) {
         this.bytesPerSecond = bytesPerSecond;
         this.burstBytes = (double) bytesPerSecond * BURST_SECONDS;
         this.tokens = burstBytes;
-        this.filledAtNanoseconds = nowNanoseconds;
+        this.refilledAtNanoseconds = nowNanoseconds;
     }
 
-    /** The share of one node in the budget of the paid link. */
+    /** Creates one node's share of the budget for the link that is billed by volume. */
     public static MeasurementBudget forPaidLink(int nodesInRegion, long nowNanoseconds) {
         long share = PAID_LINK_BYTES_PER_SECOND / Math.max(1, nodesInRegion);
         return new MeasurementBudget(share, nowNanoseconds);
     }
 
-    /** Spends the bytes if the budget allows; otherwise they must not be sent. */
+    /** Takes the bytes from the budget; when it returns false they must not be sent. */
     public boolean trySpend(MeasurementKind kind, int bytes, long nowNanoseconds) {
-        fill(nowNanoseconds);
-        double kept = kind == MeasurementKind.PROBE ? SHARE_KEPT_FROM_PROBES * burstBytes : 0;
-        if (tokens - bytes < kept) {
+        refill(nowNanoseconds);
+        double reserved =
+                kind == MeasurementKind.PROBE ? SHARE_RESERVED_FOR_REPORTS * burstBytes : 0;
+        if (tokens - bytes < reserved) {
             deniedBytes.merge(kind, (long) bytes, Long::sum);
             return false;
         }
@@ -66,19 +71,19 @@
         return true;
     }
 
-    /** All bytes spent on this kind so far. */
+    /** Total bytes spent on this kind. */
     public long spentBytes(MeasurementKind kind) {
         return spentBytes.getOrDefault(kind, 0L);
     }
 
-    /** All bytes of this kind that the budget did not allow. */
+    /** Total bytes of this kind that exceeded the budget. */
     public long deniedBytes(MeasurementKind kind) {
         return deniedBytes.getOrDefault(kind, 0L);
     }
 
-    private void fill(long now) {
-        double seconds = Math.max(0, now - filledAtNanoseconds) / NANOSECONDS_PER_SECOND;
+    private void refill(long now) {
+        double seconds = Math.max(0, now - refilledAtNanoseconds) / NANOSECONDS_PER_SECOND;
         tokens = Math.min(burstBytes, tokens + seconds * bytesPerSecond);
-        filledAtNanoseconds = now;
+        refilledAtNanoseconds = now;
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/load/MeasurementKind.java
+++ b/core/src/main/java/org/damaskmoor/core/load/MeasurementKind.java
@@ -1,11 +1,11 @@
 package org.damaskmoor.core.load;
 
-/** What bytes were spent on measuring. */
+/** Kinds of load measurement traffic. */
 public enum MeasurementKind {
-    /** An explicit load probe and its answer. */
+    /** A load probe and its answer. */
     PROBE,
-    /** A load report that rides on an answer or a refusal. */
+    /** A load report attached to an answer or a refusal. */
     REPORT,
-    /** A region's summary over the paid link. */
+    /** A region summary, sent to other regions. */
     SUMMARY
 }
--- a/core/src/main/java/org/damaskmoor/core/load/ProbePlanner.java
+++ b/core/src/main/java/org/damaskmoor/core/load/ProbePlanner.java
@@ -12,8 +12,8 @@
 import org.damaskmoor.core.routing.Target;
 
 /**
- * Decides which targets of one service to probe: those that a next request might go to and of which
- * no answer has told anything for a while.
+ * Decides which targets of one service to probe: those that may receive requests and have not
+ * reported their load for a while.
  *
  * <pre>{@code
  * // every 100 ms:
@@ -22,34 +22,34 @@
  * }
  * }</pre>
  *
- * <p>Invariants: only targets of the own region are probed, only while this node has requests for
- * the service, and only out of the budget. Not thread-safe.
+ * <p>Invariants: only targets of the local region are probed, only while this node has requests for
+ * the service, and only within the budget. Not thread-safe.
  */
 public final class ProbePlanner {
-    /** Probe, answer and the headers of their two packets. */
+    /** Size of a probe and its answer, including the headers of both packets. */
     public static final int PROBE_BYTES = 140;
 
-    /** Silence after which a report says next to nothing about a load of milliseconds. */
-    private static final long QUIET_NANOSECONDS = TimeUnit.MILLISECONDS.toNanos(250);
+    /** Age after which a load report is outdated, because load changes within milliseconds. */
+    private static final long STALE_AFTER_NANOSECONDS = TimeUnit.MILLISECONDS.toNanos(250);
 
-    /** A service that this node has had no request for so long is not probed. */
+    /** A service without a request at this node for longer than this is not probed. */
     private static final long IN_USE_NANOSECONDS = TimeUnit.SECONDS.toNanos(10);
 
-    private static final int MOST_PROBES_AT_ONCE = 4;
+    private static final int MAX_PROBES_PER_PLAN = 4;
 
     private final RegionName ownRegion;
     private final MeasurementBudget budget;
-    private Map<TargetId, Silence> silences = new HashMap<>();
+    private Map<TargetId, LastReport> lastReports = new HashMap<>();
     private boolean everUsed;
     private long usedAtNanoseconds;
 
-    private static final class Silence {
+    private static final class LastReport {
         private final TargetId target;
-        private long sinceNanoseconds;
+        private long atNanoseconds;
 
-        Silence(TargetId target, long sinceNanoseconds) {
+        LastReport(TargetId target, long atNanoseconds) {
             this.target = target;
-            this.sinceNanoseconds = sinceNanoseconds;
+            this.atNanoseconds = atNanoseconds;
         }
     }
 
@@ -60,58 +60,62 @@
 
     /** Replaces the targets by those of a new membership snapshot. */
     public void updateTargets(Collection<Target> targets, long nowNanoseconds) {
-        Map<TargetId, Silence> updated = new HashMap<>();
+        Map<TargetId, LastReport> updated = new HashMap<>();
         for (Target target : targets) {
             if (target.takesNewWork() && target.region().equals(ownRegion)) {
-                Silence known = silences.get(target.id());
-                Silence silence = known == null ? unheard(target, nowNanoseconds) : known;
-                updated.put(target.id(), silence);
+                LastReport known = lastReports.get(target.id());
+                LastReport lastReport =
+                        known == null ? alreadyStale(target, nowNanoseconds) : known;
+                updated.put(target.id(), lastReport);
             }
         }
-        silences = updated;
+        lastReports = updated;
     }
 
-    /** This node has a request for the service. */
+    /** Called when this node receives a request for the service. */
     public void onRequest(long nowNanoseconds) {
         everUsed = true;
         usedAtNanoseconds = nowNanoseconds;
     }
 
-    /** A load report of the target came, by whatever means. */
+    /** Called when a load report of the target arrived, by any means. */
     public void onLoadReport(TargetId target, long nowNanoseconds) {
-        Silence silence = silences.get(target);
-        if (silence != null) {
-            silence.sinceNanoseconds = nowNanoseconds;
+        LastReport lastReport = lastReports.get(target);
+        if (lastReport != null) {
+            lastReport.atNanoseconds = nowNanoseconds;
         }
     }
 
-    /** The targets to probe now, silent for longest first; they count as heard of until then. */
+    /**
+     * Returns the targets to probe now, those with the oldest reports first. Planning a probe
+     * counts as a report from its target.
+     */
     public List<TargetId> plan(long nowNanoseconds) {
         List<TargetId> planned = new ArrayList<>();
         if (!everUsed || nowNanoseconds - usedAtNanoseconds > IN_USE_NANOSECONDS) {
             return planned;
         }
-        for (Silence silence : longestSilences(nowNanoseconds)) {
+        for (LastReport lastReport : oldestReports(nowNanoseconds)) {
             if (!budget.trySpend(MeasurementKind.PROBE, PROBE_BYTES, nowNanoseconds)) {
                 return planned;
             }
-            silence.sinceNanoseconds = nowNanoseconds;
-            planned.add(silence.target);
+            lastReport.atNanoseconds = nowNanoseconds;
+            planned.add(lastReport.target);
         }
         return planned;
     }
 
-    private List<Silence> longestSilences(long now) {
-        Comparator<Silence> longestFirst =
-                Comparator.comparingLong(silence -> silence.sinceNanoseconds - now);
-        return silences.values().stream()
-                .filter(silence -> now - silence.sinceNanoseconds >= QUIET_NANOSECONDS)
-                .sorted(longestFirst)
-                .limit(MOST_PROBES_AT_ONCE)
+    private List<LastReport> oldestReports(long now) {
+        Comparator<LastReport> oldestFirst =
+                Comparator.comparingLong(lastReport -> lastReport.atNanoseconds - now);
+        return lastReports.values().stream()
+                .filter(lastReport -> now - lastReport.atNanoseconds >= STALE_AFTER_NANOSECONDS)
+                .sorted(oldestFirst)
+                .limit(MAX_PROBES_PER_PLAN)
                 .toList();
     }
 
-    private static Silence unheard(Target target, long now) {
-        return new Silence(target.id(), now - QUIET_NANOSECONDS);
+    private static LastReport alreadyStale(Target target, long now) {
+        return new LastReport(target.id(), now - STALE_AFTER_NANOSECONDS);
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/load/RegionSummarizer.java
+++ b/core/src/main/java/org/damaskmoor/core/load/RegionSummarizer.java
@@ -13,31 +13,35 @@
 import org.damaskmoor.schema.mesh.LoadReport;
 
 /**
- * Sums up one service in the own region for the other regions, and says when a summary is due.
+ * Aggregates the load of one service in the local region for other regions, and decides when a
+ * summary is due.
  *
- * <p>A summary is due at once when occupancy has changed much since the last one, but never sooner
- * than {@link #LEAST_INTERVAL_MILLISECONDS}; at the latest after {@link
- * #GREATEST_INTERVAL_MILLISECONDS}. Targets that were not heard of lately count with the mean of
- * the others. Not thread-safe.
+ * <p>A summary is due when occupancy has changed considerably since the last one, but no sooner
+ * than {@link #MIN_INTERVAL_MILLISECONDS} after it; without such a change it is due after {@link
+ * #MAX_INTERVAL_MILLISECONDS}. Targets without a fresh report count with the mean of the others.
+ * Not thread-safe.
  */
 public final class RegionSummarizer {
-    /** 340 services, 3 other regions and 80 bytes each 2.5 s: 33 KB/s, within the link's share. */
-    public static final long LEAST_INTERVAL_MILLISECONDS = 2500;
+    /**
+     * Summaries of 340 services, 80 bytes each, to 3 other regions every 2.5 s are 33 KB/s, within
+     * the link's budget.
+     */
+    public static final long MIN_INTERVAL_MILLISECONDS = 2500;
 
-    /** Keeps a lost summary from being missed for long. */
-    public static final long GREATEST_INTERVAL_MILLISECONDS = 20_000;
+    /** Limits how long a lost summary goes unnoticed. */
+    public static final long MAX_INTERVAL_MILLISECONDS = 20_000;
 
-    private static final double MUCH_CHANGED_OCCUPANCY = 0.1;
+    private static final double SIGNIFICANT_OCCUPANCY_CHANGE = 0.1;
     private static final long FRESH_NANOSECONDS = TimeUnit.SECONDS.toNanos(2);
 
     private final ServiceName service;
     private final RegionName region;
-    private final Map<TargetId, Heard> heard = new HashMap<>();
+    private final Map<TargetId, TimedReport> reports = new HashMap<>();
     private boolean everSent;
     private long sentAtNanoseconds;
     private double sentOccupancy;
 
-    private record Heard(LoadReport report, long atNanoseconds) {}
+    private record TimedReport(LoadReport report, long atNanoseconds) {}
 
     public RegionSummarizer(ServiceName service, RegionName region) {
         this.service = service;
@@ -45,8 +49,9 @@
     }
 
     /**
-     * The node that sends the summaries of a service: the one with the greatest hash of both names.
-     * Nodes that see different members may both send, which does no harm.
+     * Returns the node that sends the summaries of a service: the one with the greatest combined
+     * hash of service and node. Nodes with different views of the members may both send, which is
+     * harmless.
      */
     public static Optional<NodeId> electSender(
             ServiceName service, Collection<NodeId> nodesOfRegion) {
@@ -55,29 +60,29 @@
                 .max((a, b) -> Long.compare(rank(serviceHash, a), rank(serviceHash, b)));
     }
 
-    /** A load report of a target of the own region came. */
+    /** Called when a load report of a target in the local region arrived. */
     public void onLoadReport(TargetId target, LoadReport report, long nowNanoseconds) {
         if (report.getLimit() > 0) {
-            heard.put(target, new Heard(report, nowNanoseconds));
+            reports.put(target, new TimedReport(report, nowNanoseconds));
         }
     }
 
-    /** The summary of this instant; empty when nothing fresh is known. */
+    /** Returns the current summary; empty without fresh reports. */
     public Optional<RegionSummary> summary(int targets, long nowNanoseconds) {
-        heard.values().removeIf(each -> nowNanoseconds - each.atNanoseconds > FRESH_NANOSECONDS);
-        if (heard.isEmpty() || targets == 0) {
+        reports.values().removeIf(each -> nowNanoseconds - each.atNanoseconds > FRESH_NANOSECONDS);
+        if (reports.isEmpty() || targets == 0) {
             return Optional.empty();
         }
         long load = 0;
         long limit = 0;
         long latency = 0;
-        for (Heard each : heard.values()) {
+        for (TimedReport each : reports.values()) {
             LoadReport report = each.report;
             load += report.getInFlight() + (long) report.getQueued();
             limit += report.getLimit();
             latency += (long) report.getLimit() * report.getLatencyMicroseconds();
         }
-        int count = heard.size();
+        int count = reports.size();
         return Optional.of(
                 new RegionSummary(
                         service,
@@ -88,14 +93,14 @@
                         latency / limit));
     }
 
-    /** The summary to send now, if one is due; counts as sent. */
+    /** Returns the summary to send now, if one is due, and records it as sent. */
     public Optional<RegionSummary> pollDue(int targets, long nowNanoseconds) {
         long sinceSent = TimeUnit.NANOSECONDS.toMillis(nowNanoseconds - sentAtNanoseconds);
-        if (everSent && sinceSent < LEAST_INTERVAL_MILLISECONDS) {
+        if (everSent && sinceSent < MIN_INTERVAL_MILLISECONDS) {
             return Optional.empty();
         }
         Optional<RegionSummary> summary = summary(targets, nowNanoseconds);
-        if (summary.isEmpty() || !worthSending(summary.get(), sinceSent)) {
+        if (summary.isEmpty() || !isWorthSending(summary.get(), sinceSent)) {
             return Optional.empty();
         }
         everSent = true;
@@ -104,11 +109,11 @@
         return summary;
     }
 
-    private boolean worthSending(RegionSummary summary, long sinceSentMilliseconds) {
-        if (!everSent || sinceSentMilliseconds >= GREATEST_INTERVAL_MILLISECONDS) {
+    private boolean isWorthSending(RegionSummary summary, long sinceSentMilliseconds) {
+        if (!everSent || sinceSentMilliseconds >= MAX_INTERVAL_MILLISECONDS) {
             return true;
         }
-        return Math.abs(summary.occupancy() - sentOccupancy) >= MUCH_CHANGED_OCCUPANCY;
+        return Math.abs(summary.occupancy() - sentOccupancy) >= SIGNIFICANT_OCCUPANCY_CHANGE;
     }
 
     private static long rank(long serviceHash, NodeId node) {
--- a/core/src/main/java/org/damaskmoor/core/load/RegionSummary.java
+++ b/core/src/main/java/org/damaskmoor/core/load/RegionSummary.java
@@ -5,15 +5,16 @@
 import org.damaskmoor.core.id.ServiceName;
 
 /**
- * What one region tells another of a service: the sum over its targets, in place of a report each.
+ * Load of one service in one region, aggregated over its targets and sent to other regions in place
+ * of one report per target.
  *
  * <p>Immutable and thread-safe.
  *
  * @param service the service
- * @param region the region that is summed up
- * @param targets targets that take new work
- * @param load requests in flight and queued
- * @param limit sum of the admission limits
+ * @param region the region
+ * @param targets number of targets that take new work
+ * @param load number of requests in flight and queued
+ * @param limit sum of the targets' concurrency limits
  * @param latencyMicroseconds mean service time, weighted by limit
  */
 public record RegionSummary(
@@ -28,7 +29,7 @@
         Objects.requireNonNull(region, "region");
     }
 
-    /** Load as a part of the limit; 1 when there is no limit. */
+    /** Load as a fraction of the limit; 1 when the limit is 0. */
     public double occupancy() {
         return limit <= 0 ? 1 : (double) load / limit;
     }
--- a/core/src/main/java/org/damaskmoor/core/load/package-info.java
+++ b/core/src/main/java/org/damaskmoor/core/load/package-info.java
@@ -1,2 +1,2 @@
-/** What is measured of load, and what may be spent on measuring it. */
+/** Load measurement: probes, region summaries, and a budget for the traffic that they cause. */
 package org.damaskmoor.core.load;
--- a/core/src/test/java/org/damaskmoor/core/load/LoadMeasurementTest.java
+++ b/core/src/test/java/org/damaskmoor/core/load/LoadMeasurementTest.java
@@ -32,7 +32,7 @@
     private record Spending(long atNanoseconds, int bytes) {}
 
     @Property(seed = "1")
-    void should_never_spend_more_in_any_span_than_rate_and_burst_allow(
+    void should_never_spend_more_than_rate_and_burst_allow(
             @ForAll long seed, @ForAll @IntRange(max = 5000) int rate) {
         // given
         Random random = new Random(seed);
@@ -62,14 +62,14 @@
     }
 
     @Test
-    void should_probe_only_quiet_targets_of_the_own_region_while_the_service_is_in_use() {
+    void should_probe_only_silent_targets_of_the_local_region_while_the_service_is_in_use() {
         // given
         ProbePlanner planner = new ProbePlanner(HOME, new MeasurementBudget(100_000, 0));
-        Target quiet = target("quiet", HOME, UpstreamState.SERVING);
+        Target silent = target("quiet", HOME, UpstreamState.SERVING);
         Target busy = target("busy", HOME, UpstreamState.SERVING);
         Target far = target("far", FAR, UpstreamState.SERVING);
         Target leaving = target("leaving", HOME, UpstreamState.LEAVING);
-        planner.updateTargets(List.of(quiet, busy, far, leaving), 0);
+        planner.updateTargets(List.of(silent, busy, far, leaving), 0);
 
         // when
         List<TargetId> unused = planner.plan(SECOND);
@@ -81,7 +81,7 @@
 
         // then
         assertThat(unused).isEmpty();
-        assertThat(used).containsExactly(quiet.id());
+        assertThat(used).containsExactly(silent.id());
         assertThat(again).isEmpty();
         assertThat(later).isEmpty();
     }
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void should_count_silent_targets_with_the_mean_of_the_others() {
+    void should_count_targets_without_fresh_reports_with_the_mean_of_the_others() {
         // given
         RegionSummarizer summaries = new RegionSummarizer(SERVICE, HOME);
         summaries.onLoadReport(id("stale"), report(10, 1000), 0);
@@ -126,11 +126,11 @@
     }
 
     @Test
-    void should_send_a_summary_early_only_when_much_has_changed() {
+    void should_send_a_summary_early_only_after_a_significant_change() {
         // given
         RegionSummarizer summaries = new RegionSummarizer(SERVICE, HOME);
-        long interval = RegionSummarizer.LEAST_INTERVAL_MILLISECONDS * SECOND / 1000;
-        long longest = RegionSummarizer.GREATEST_INTERVAL_MILLISECONDS * SECOND / 1000;
+        long interval = RegionSummarizer.MIN_INTERVAL_MILLISECONDS * SECOND / 1000;
+        long longest = RegionSummarizer.MAX_INTERVAL_MILLISECONDS * SECOND / 1000;
         summaries.onLoadReport(id("a"), report(2, 5000), 0);
 
         // when
@@ -151,7 +151,7 @@
     }
 
     @Test
-    void should_name_the_same_sender_when_other_nodes_leave() {
+    void should_elect_the_same_sender_when_other_nodes_leave() {
         // given
         List<NodeId> nodes = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
