--- a/core/src/main/java/org/damaskmoor/core/retry/HedgePolicy.java
+++ b/core/src/main/java/org/damaskmoor/core/retry/HedgePolicy.java
@@ -5,8 +5,8 @@
 import org.HdrHistogram.IntCountsHistogram;
 
 /**
- * Decides after which time an idempotent request is sent to a second target as well, and whether
- * the budget allows it.
+ * Decides when to hedge an idempotent request, by sending it to a second target as well, and
+ * whether the retry budget allows it.
  *
  * <pre>{@code
  * OptionalLong delay = hedging.delayNanoseconds(rule.nonIdempotent(), now);
@@ -16,17 +16,16 @@
  * }
  * }</pre>
  *
- * <p>The delay is a high quantile of recent latency, of the last one to two windows. Invariants: a
- * non-idempotent request is never hedged; hedges come out of the same budget as retries. Not
- * thread-safe.
+ * <p>The delay is a high percentile of latency over the last one to two windows. Invariants: a
+ * non-idempotent request is never hedged; hedges use the same budget as retries. Not thread-safe.
  */
 public final class HedgePolicy {
     private static final long WINDOW_NANOSECONDS = TimeUnit.SECONDS.toNanos(10);
     private static final long REFRESH_NANOSECONDS = TimeUnit.MILLISECONDS.toNanos(100);
-    private static final long LEAST_DELAY_MICROSECONDS = 1000;
-    private static final long GREATEST_LATENCY_MICROSECONDS = TimeUnit.MINUTES.toMicros(1);
+    private static final long MIN_DELAY_MICROSECONDS = 1000;
+    private static final long MAX_LATENCY_MICROSECONDS = TimeUnit.MINUTES.toMicros(1);
     private static final int SIGNIFICANT_DIGITS = 2;
-    private static final int LEAST_SAMPLES = 100;
+    private static final int MIN_SAMPLES = 100;
 
     private final RetryBudget budget;
     private int percentile;
@@ -37,9 +36,9 @@
     private long delayMicroseconds;
 
     /**
-     * Hedging out of the given budget.
+     * Creates a policy that uses the given budget.
      *
-     * @param percentile the quantile in percent; 0 means no hedging
+     * @param percentile the latency percentile; 0 disables hedging
      */
     public HedgePolicy(int percentile, RetryBudget budget, long nowNanoseconds) {
         this.percentile = percentile;
@@ -48,20 +47,23 @@
         this.refreshedAtNanoseconds = nowNanoseconds - REFRESH_NANOSECONDS;
     }
 
-    /** The configuration has changed. */
+    /** Applies a changed configuration. */
     public void configure(int newPercentile) {
         percentile = newPercentile;
         delayMicroseconds = 0;
     }
 
-    /** A first attempt was answered. Answers to hedges would make the quantile too small. */
+    /**
+     * Records the latency of a first attempt. Answers to hedges must not be recorded, because they
+     * would lower the percentile.
+     */
     public void onAnswered(long latencyNanoseconds, long nowNanoseconds) {
         rotate(nowNanoseconds);
         long microseconds = TimeUnit.NANOSECONDS.toMicros(Math.max(0, latencyNanoseconds));
-        current.recordValue(Math.min(GREATEST_LATENCY_MICROSECONDS, microseconds));
+        current.recordValue(Math.min(MAX_LATENCY_MICROSECONDS, microseconds));
     }
 
-    /** Time after which to hedge; empty: do not hedge this request. */
+    /** Returns the delay after which to hedge, or empty when the request must not be hedged. */
     public OptionalLong delayNanoseconds(boolean nonIdempotent, long nowNanoseconds) {
         if (percentile == 0 || nonIdempotent) {
             return OptionalLong.empty();
@@ -74,7 +76,7 @@
         return OptionalLong.of(TimeUnit.MICROSECONDS.toNanos(delayMicroseconds));
     }
 
-    /** Takes the hedge out of the budget. False: it must not be sent. */
+    /** Takes the hedge from the budget; when it returns false the hedge must not be sent. */
     public boolean tryHedge(long nowNanoseconds) {
         return budget.tryAcquireForHedge(nowNanoseconds);
     }
@@ -98,17 +100,17 @@
             return;
         }
         refreshedAtNanoseconds = now;
-        if (current.getTotalCount() + previous.getTotalCount() < LEAST_SAMPLES) {
+        if (current.getTotalCount() + previous.getTotalCount() < MIN_SAMPLES) {
             delayMicroseconds = 0;
             return;
         }
         IntCountsHistogram both = current.copy();
         both.add(previous);
-        long quantile = both.getValueAtPercentile(percentile);
-        delayMicroseconds = Math.max(LEAST_DELAY_MICROSECONDS, quantile);
+        long latencyMicroseconds = both.getValueAtPercentile(percentile);
+        delayMicroseconds = Math.max(MIN_DELAY_MICROSECONDS, latencyMicroseconds);
     }
 
     private static IntCountsHistogram histogram() {
-        return new IntCountsHistogram(GREATEST_LATENCY_MICROSECONDS, SIGNIFICANT_DIGITS);
+        return new IntCountsHistogram(MAX_LATENCY_MICROSECONDS, SIGNIFICANT_DIGITS);
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/retry/RetryBudget.java
+++ b/core/src/main/java/org/damaskmoor/core/retry/RetryBudget.java
@@ -3,33 +3,34 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Bounds the retries and hedges of one service at one entry node to a share of its requests.
+ * Limits the retries and hedges of one service at one entry node to a fraction of its requests.
  *
  * <pre>{@code
  * budget.onRequest(now);
- * if (budget.tryTake(now)) {
+ * if (budget.tryAcquire(now)) {
  *     // send one more attempt
  * }
  * }</pre>
  *
- * <p>Each request adds its share of a token, each further attempt takes a whole one. A small floor
- * lets a service with few requests retry at all. Invariant: attempts taken are at most the burst,
- * the share of the requests, and the floor times the time. Not thread-safe.
+ * <p>A token bucket: each request adds a fraction of a token, each retry or hedge takes a whole
+ * one. A minimum refill rate lets a service with few requests retry at all. Invariant: the number
+ * of tokens taken is at most the burst, plus the fraction of the requests, plus the minimum rate
+ * times the time. Not thread-safe.
  */
 public final class RetryBudget {
-    private static final double FLOOR_TOKENS_PER_SECOND = 1;
+    private static final double MIN_TOKENS_PER_SECOND = 1;
     private static final double BURST_TOKENS = 20;
-    private static final double SHARE_KEPT_FROM_HEDGES = 0.5;
+    private static final double SHARE_RESERVED_FOR_RETRIES = 0.5;
     private static final double NANOSECONDS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
     private static final double PERCENT = 100;
 
-    /** Sums of small shares may fall a little short of a whole token. */
-    private static final double ROUNDING = 1e-9;
+    /** Tolerance for the rounding error in sums of token fractions. */
+    private static final double ROUNDING_TOLERANCE = 1e-9;
 
     private final double burstTokens;
     private double tokensPerRequest;
     private double tokens;
-    private long filledAtNanoseconds;
+    private long refilledAtNanoseconds;
 
     public RetryBudget(int percent, long nowNanoseconds) {
         this(percent, BURST_TOKENS, nowNanoseconds);
@@ -39,29 +40,29 @@
         configure(percent);
         this.burstTokens = burstTokens;
         this.tokens = burstTokens;
-        this.filledAtNanoseconds = nowNanoseconds;
+        this.refilledAtNanoseconds = nowNanoseconds;
     }
 
-    /** A budget that never allows a further attempt, for baselines without retries. */
+    /** Returns a budget that never allows a retry, for benchmark baselines without retries. */
     public static RetryBudget none() {
         return new RetryBudget(0, 0, 0);
     }
 
-    /** The configuration has changed. */
+    /** Applies a changed configuration. */
     public void configure(int percent) {
         tokensPerRequest = percent / PERCENT;
     }
 
-    /** A caller's request came; its further attempts are not counted here. */
+    /** Called once for each request of a caller; its retries and hedges do not count. */
     public void onRequest(long nowNanoseconds) {
-        fill(nowNanoseconds);
+        refill(nowNanoseconds);
         add(tokensPerRequest);
     }
 
-    /** Takes one further attempt out of the budget. False: it must not be sent. */
+    /** Takes one retry from the budget; when it returns false the retry must not be sent. */
     public boolean tryAcquire(long nowNanoseconds) {
-        fill(nowNanoseconds);
-        if (tokens < 1 - ROUNDING) {
+        refill(nowNanoseconds);
+        if (tokens < 1 - ROUNDING_TOLERANCE) {
             return false;
         }
         tokens -= 1;
@@ -69,24 +70,24 @@
     }
 
     /**
-     * Takes a hedge out of the budget. Hedges leave half of the burst to retries: a hedge only
-     * makes an answer faster, and a retry saves a request from being refused.
+     * Takes a hedge from the budget. Half of the burst is reserved for retries: a hedge only makes
+     * an answer faster, whereas a retry saves a request from failing.
      */
     boolean tryAcquireForHedge(long nowNanoseconds) {
-        fill(nowNanoseconds);
-        if (tokens - 1 < SHARE_KEPT_FROM_HEDGES * burstTokens - ROUNDING) {
+        refill(nowNanoseconds);
+        if (tokens - 1 < SHARE_RESERVED_FOR_RETRIES * burstTokens - ROUNDING_TOLERANCE) {
             return false;
         }
         return tryAcquire(nowNanoseconds);
     }
 
-    private void fill(long now) {
-        double seconds = Math.max(0, now - filledAtNanoseconds) / NANOSECONDS_PER_SECOND;
-        add(seconds * FLOOR_TOKENS_PER_SECOND);
-        filledAtNanoseconds = now;
+    private void refill(long now) {
+        double seconds = Math.max(0, now - refilledAtNanoseconds) / NANOSECONDS_PER_SECOND;
+        add(seconds * MIN_TOKENS_PER_SECOND);
+        refilledAtNanoseconds = now;
     }
 
-    private void add(double more) {
-        tokens = Math.min(burstTokens, tokens + more);
+    private void add(double newTokens) {
+        tokens = Math.min(burstTokens, tokens + newTokens);
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/retry/RetryRules.java
+++ b/core/src/main/java/org/damaskmoor/core/retry/RetryRules.java
@@ -3,23 +3,23 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * Which ended attempts may be followed by another at a different target. The budget is asked after
- * these rules.
+ * Decides whether an attempt may be retried at a different target, before the retry budget is
+ * consulted.
  *
- * <p>A refusal says that the request did not run, so that even a non-idempotent one may be tried
- * again. Only the level next to the refusal does so: a refusal marked as from below is passed on,
- * else calls of seven levels would multiply. Stateless and thread-safe.
+ * <p>A refused request was not run, so even a non-idempotent one may be retried. Only the level of
+ * the call chain next to the refusal retries: a refusal marked as coming from a lower level is
+ * passed on, because retries at each of seven levels would multiply. Stateless and thread-safe.
  */
 public final class RetryRules {
-    /** The first attempt and two further ones. */
-    public static final int MOST_ATTEMPTS = 3;
+    /** The first attempt and two retries. */
+    public static final int MAX_ATTEMPTS = 3;
 
     private RetryRules() {}
 
-    /** Whether a request that a target refused as "not run" may be tried elsewhere. */
+    /** Whether a request that a target refused as "not run" may be retried at another target. */
     public static boolean canRetryAfterRefusal(
             RefusalReason reason, boolean refusedBelow, int attempts, DeadlineBudget deadline) {
-        if (refusedBelow || attempts >= MOST_ATTEMPTS || deadline.isExhausted()) {
+        if (refusedBelow || attempts >= MAX_ATTEMPTS || deadline.isExhausted()) {
             return false;
         }
         return switch (reason) {
@@ -37,15 +37,16 @@
         };
     }
 
-    /** Whether a request that may have run may be sent again. */
+    /** Whether a request that may have run may be retried. */
     public static boolean canRetryAfterFailure(
             boolean nonIdempotent, int attempts, DeadlineBudget deadline) {
-        return !nonIdempotent && attempts < MOST_ATTEMPTS && !deadline.isExhausted();
+        return !nonIdempotent && attempts < MAX_ATTEMPTS && !deadline.isExhausted();
     }
 
     /**
-     * Whether the attempt after this refusal is free of the budget: a planned stop or a replaced
-     * node bounces each request at most once, and must not use up what faults need.
+     * Whether a retry after this refusal does not count against the budget. A planned stop or a
+     * replaced node refuses each request at most once, and must not use up the budget that faults
+     * need.
      */
     public static boolean isExemptFromBudget(RefusalReason reason) {
         return reason == RefusalReason.DRAINING || reason == RefusalReason.STALE_INCARNATION;
--- a/core/src/main/java/org/damaskmoor/core/retry/package-info.java
+++ b/core/src/main/java/org/damaskmoor/core/retry/package-info.java
@@ -1,2 +1,2 @@
-/** Bounds on further attempts at a request: retries, hedges and deadlines. */
+/** Limits on retries and hedges: budgets, rules and deadlines. */
 package org.damaskmoor.core.retry;
--- a/core/src/test/java/org/damaskmoor/core/retry/RetryTest.java
+++ b/core/src/test/java/org/damaskmoor/core/retry/RetryTest.java
@@ -17,7 +17,7 @@
     private static final DeadlineBudget AMPLE = DeadlineBudget.ofMilliseconds(1000);
 
     @Property(seed = "1")
-    void should_bound_retries_by_share_floor_and_burst(
+    void should_limit_retries_by_fraction_minimum_rate_and_burst(
             @ForAll long seed, @ForAll @IntRange(max = 100) int percent) {
         // given
         Random random = new Random(seed);
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void should_allow_a_tenth_of_the_requests_when_all_fail() {
+    void should_allow_retries_of_a_tenth_of_the_requests_when_all_fail() {
         // given
         RetryBudget budget = new RetryBudget(10, 0);
         int retries = 0;
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void should_retry_on_one_level_only_of_a_deep_call() {
+    void should_retry_at_only_one_level_of_a_call_chain() {
         // given
         RefusalReason reason = RefusalReason.OVERLOADED;
 
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void should_not_retry_what_another_target_would_refuse_too() {
+    void should_not_retry_a_refusal_that_another_target_would_repeat() {
         assertThat(RetryRules.canRetryAfterRefusal(RefusalReason.QUARANTINED, false, 1, AMPLE))
                 .isFalse();
         assertThat(RetryRules.canRetryAfterRefusal(RefusalReason.NOT_ALLOWED, false, 1, AMPLE))
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void should_never_send_again_what_is_not_idempotent_and_may_have_run() {
+    void should_never_retry_a_non_idempotent_request_that_may_have_run() {
         assertThat(RetryRules.canRetryAfterFailure(true, 1, AMPLE)).isFalse();
         assertThat(RetryRules.canRetryAfterFailure(false, 1, AMPLE)).isTrue();
         assertThat(RetryRules.canRetryAfterFailure(false, 1, new DeadlineBudget(999_999)))
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void should_subtract_each_hop_and_never_add_time() {
+    void should_subtract_the_time_of_each_hop_and_never_add_time() {
         // given
         DeadlineBudget budget = DeadlineBudget.ofMilliseconds(10);
 
@@ -107,7 +107,7 @@
     }
 
     @Property(seed = "1")
-    void should_hedge_after_the_quantile_that_sorting_finds(
+    void should_hedge_after_the_percentile_of_sorted_latencies(
             @ForAll long seed, @ForAll @IntRange(min = 50, max = 99) int percentile) {
         // given
         Random random = new Random(seed);
@@ -125,7 +125,7 @@
     }
 
     @Test
-    void should_not_hedge_what_is_not_idempotent_or_not_known_well_enough() {
+    void should_not_hedge_non_idempotent_requests_or_without_enough_samples() {
         // given
         HedgePolicy hedging = new HedgePolicy(95, new RetryBudget(10, 0), 0);
 
@@ -143,14 +143,14 @@
     }
 
     @Test
-    void should_take_hedges_from_the_budget_of_retries() {
+    void should_take_hedges_from_the_retry_budget() {
         // given
         RetryBudget budget = new RetryBudget(0, 0);
         HedgePolicy hedging = new HedgePolicy(95, budget, 0);
 
         // when
         while (budget.tryAcquire(0)) {
-            // use it up
+            // uses up the budget
         }
 
         // then
@@ -158,7 +158,7 @@
     }
 
     @Test
-    void should_leave_retries_half_of_the_burst_when_hedges_want_all() {
+    void should_reserve_half_of_the_burst_for_retries() {
         // given
         RetryBudget budget = new RetryBudget(0, 0);
         HedgePolicy hedging = new HedgePolicy(95, budget, 0);
