--- a/core/src/main/java/org/damaskmoor/core/upstream/UpstreamAnnouncement.java
+++ b/core/src/main/java/org/damaskmoor/core/upstream/UpstreamAnnouncement.java
@@ -4,15 +4,16 @@
 import org.damaskmoor.core.id.ServiceName;
 
 /**
- * What an upstream says of itself every second or so. Immutable and thread-safe.
+ * An upstream's periodic announcement of itself, sent about once per second. Immutable and
+ * thread-safe.
  *
- * @param id the upstream
- * @param service the service that it runs
- * @param bornEpochMilliseconds when this incarnation started, by the upstream's clock
- * @param sequence grows with each announcement of a incarnation
- * @param slots calls that it runs at once
- * @param draining whether it is about to leave
- * @param coldMilliseconds how much longer it is slow after its start
+ * @param id id of the upstream
+ * @param service the service that the upstream runs
+ * @param bornEpochMilliseconds start time of this incarnation, by the upstream's clock
+ * @param sequence increases with each announcement of an incarnation
+ * @param slots number of calls that the upstream can run concurrently
+ * @param draining whether the upstream is draining before it stops
+ * @param coldMilliseconds remaining time for which the upstream is slow after its start
  */
 public record UpstreamAnnouncement(
         UpstreamId id,
@@ -27,11 +28,18 @@
         Objects.requireNonNull(service, "service");
         if (slots <= 0) {
             throw new IllegalArgumentException(
-                    "An upstream must have a slot, but " + id + " announced " + slots + ".");
+                    "An upstream must have at least one slot, but "
+                            + id
+                            + " announced "
+                            + slots
+                            + ".");
         }
     }
 
-    /** Whether this was said after the other one: by a later incarnation, or later in the same. */
+    /**
+     * Whether this announcement is newer than the other: of a later incarnation, or later in the
+     * same one.
+     */
     public boolean isNewerThan(UpstreamAnnouncement other) {
         if (bornEpochMilliseconds != other.bornEpochMilliseconds) {
             return bornEpochMilliseconds > other.bornEpochMilliseconds;
@@ -39,7 +47,7 @@
         return sequence > other.sequence;
     }
 
-    /** Whether both were said in the same incarnation of the same upstream. */
+    /** Whether both announcements are of the same incarnation of the same upstream. */
     public boolean isSameIncarnation(UpstreamAnnouncement other) {
         return id.equals(other.id) && bornEpochMilliseconds == other.bornEpochMilliseconds;
     }
--- a/core/src/main/java/org/damaskmoor/core/upstream/UpstreamId.java
+++ b/core/src/main/java/org/damaskmoor/core/upstream/UpstreamId.java
@@ -3,10 +3,10 @@
 import java.util.Objects;
 
 /**
- * An upstream's own name of its current incarnation. A later incarnation may have the same name.
- * Immutable and thread-safe.
+ * Id that an upstream gives itself. A later incarnation may use the same id. Immutable and
+ * thread-safe.
  *
- * @param value the name; not empty
+ * @param value the id; not empty
  */
 public record UpstreamId(String value) {
     public UpstreamId {
--- a/core/src/main/java/org/damaskmoor/core/upstream/UpstreamLoad.java
+++ b/core/src/main/java/org/damaskmoor/core/upstream/UpstreamLoad.java
@@ -1,11 +1,11 @@
 package org.damaskmoor.core.upstream;
 
 /**
- * The load that an upstream told with an answer. Immutable and thread-safe.
+ * The load that an upstream reported with an answer. Immutable and thread-safe.
  *
- * @param running calls that it runs
- * @param waiting calls that it queues
- * @param slots calls that it can run at once
- * @param slowness how long work takes on its VM at this moment, 1 is as usual; 0 when untold
+ * @param running number of running calls
+ * @param waiting number of queued calls
+ * @param slots number of calls that it can run concurrently
+ * @param slowness current service time on its VM as a multiple of normal; 0 when unknown
  */
 public record UpstreamLoad(int running, int waiting, int slots, double slowness) {}
--- a/core/src/main/java/org/damaskmoor/core/upstream/UpstreamTracker.java
+++ b/core/src/main/java/org/damaskmoor/core/upstream/UpstreamTracker.java
@@ -5,127 +5,131 @@
 import java.util.OptionalLong;
 
 /**
- * What is known of the upstream on this VM: which incarnation is the present one, whether it
- * leaves, and whether it answers. Answers announcements that come late, twice, or from a former
- * incarnation.
+ * Tracks the upstream on this VM: its current incarnation, whether it is leaving, and whether it is
+ * reachable. Tolerates announcements that are late, duplicated, or from an earlier incarnation.
  *
- * <p>Invariants: an older announcement never replaces a newer one; a incarnation that has said that
- * it leaves never takes new calls again. Times are in milliseconds of one monotonic clock. Not
- * thread-safe.
+ * <p>Invariants: an older announcement never replaces a newer one; an incarnation that has
+ * announced that it leaves never accepts new calls again. Times are in milliseconds of one
+ * monotonic clock. Not thread-safe.
  */
 public final class UpstreamTracker {
-    /** Former incarnations whose late announcements are recognised. */
+    /** Number of earlier incarnations whose late announcements are recognised. */
     private static final int REMEMBERED_INCARNATIONS = 16;
 
-    /** Before the end of the drain time, so that a call on its way arrives within it. */
+    /**
+     * Dispatch stops this long before the end of the drain time, so that calls in transit arrive in
+     * time.
+     */
     private static final long DRAIN_MARGIN_MILLISECONDS = 400;
 
     private final long drainMilliseconds;
-    private final ArrayDeque<UpstreamAnnouncement> left = new ArrayDeque<>();
+    private final ArrayDeque<UpstreamAnnouncement> departed = new ArrayDeque<>();
     private UpstreamAnnouncement current;
     private boolean leaving;
     private long leavingSince;
     private boolean down;
 
     /**
-     * Creates a register without an upstream.
+     * Creates a tracker without an upstream.
      *
-     * @param drainMilliseconds how long after its word a leaving upstream may get calls
+     * @param drainMilliseconds how long a leaving upstream may receive calls after it announced
+     *     that it leaves
      */
     public UpstreamTracker(long drainMilliseconds) {
         this.drainMilliseconds = drainMilliseconds;
     }
 
-    /** What an announcement changed. */
+    /** The change caused by an announcement. */
     public enum Change {
-        /** Nothing. */
+        /** No change. */
         NONE,
-        /** A incarnation that was not known is here, or a known one answers again. */
+        /** A new incarnation has appeared, or a known one is reachable again. */
         APPEARED,
-        /** The upstream leaves. */
+        /** The upstream is leaving. */
         LEAVING
     }
 
-    /** The upstream announced itself. */
-    public Change onAnnouncement(UpstreamAnnouncement news, long now) {
-        if (hasLeft(news) || (current != null && !news.isNewerThan(current))) {
+    /** Processes an announcement of the upstream. */
+    public Change onAnnouncement(UpstreamAnnouncement announcement, long now) {
+        if (hasLeft(announcement) || (current != null && !announcement.isNewerThan(current))) {
             return Change.NONE;
         }
-        boolean sameIncarnation = current != null && news.isSameIncarnation(current);
+        boolean sameIncarnation = current != null && announcement.isSameIncarnation(current);
         boolean wasDown = down;
-        current = news;
+        current = announcement;
         if (!sameIncarnation) {
             leaving = false;
         }
         down = false;
-        if (news.draining() && !leaving) {
-            return leave(now);
+        if (announcement.draining() && !leaving) {
+            return startLeaving(now);
         }
         return !sameIncarnation || (wasDown && !leaving) ? Change.APPEARED : Change.NONE;
     }
 
     /**
-     * The upstream said that it goes.
+     * Processes a message that the upstream is leaving.
      *
-     * @param born start of the incarnation that goes, when it was told
+     * @param startedAt start time of the leaving incarnation, if known
      */
-    public Change onLeave(UpstreamId id, OptionalLong born, long now) {
-        boolean present =
+    public Change onLeave(UpstreamId id, OptionalLong startedAt, long now) {
+        boolean isCurrent =
                 current != null
                         && current.id().equals(id)
-                        && (born.isEmpty() || born.getAsLong() == current.bornEpochMilliseconds());
-        if (!present || leaving) {
+                        && (startedAt.isEmpty()
+                                || startedAt.getAsLong() == current.bornEpochMilliseconds());
+        if (!isCurrent || leaving) {
             return Change.NONE;
         }
-        return leave(now);
+        return startLeaving(now);
     }
 
-    private Change leave(long now) {
+    private Change startLeaving(long now) {
         leaving = true;
         leavingSince = now;
-        left.addLast(current);
-        if (left.size() > REMEMBERED_INCARNATIONS) {
-            left.removeFirst();
+        departed.addLast(current);
+        if (departed.size() > REMEMBERED_INCARNATIONS) {
+            departed.removeFirst();
         }
         return Change.LEAVING;
     }
 
-    private boolean hasLeft(UpstreamAnnouncement news) {
-        return left.stream().anyMatch(news::isSameIncarnation)
-                && (current == null || !news.isSameIncarnation(current));
+    private boolean hasLeft(UpstreamAnnouncement announcement) {
+        return departed.stream().anyMatch(announcement::isSameIncarnation)
+                && (current == null || !announcement.isSameIncarnation(current));
     }
 
-    /** Its address does not answer, or another upstream answers there. */
+    /** Called when the upstream's address does not answer, or another upstream answers there. */
     public void markDown() {
         down = true;
     }
 
-    /** It was reached. */
+    /** Called when the upstream was reached. */
     public void markUp() {
         down = false;
     }
 
-    /** Whether its address did not answer when it was last used. */
+    /** Whether the upstream was unreachable when it was last used. */
     public boolean isDown() {
         return down;
     }
 
-    /** Whether it has said that it leaves. */
+    /** Whether the upstream has announced that it is leaving. */
     public boolean isLeaving() {
         return leaving;
     }
 
-    /** The present incarnation, or empty before the first announcement. */
+    /** The current incarnation, or empty before the first announcement. */
     public Optional<UpstreamAnnouncement> current() {
         return Optional.ofNullable(current);
     }
 
-    /** Whether new calls are taken for it. */
+    /** Whether new calls are accepted for the upstream. */
     public boolean acceptsCalls() {
         return current != null && !leaving && !down;
     }
 
-    /** Whether a call that was taken earlier may still be handed over. */
+    /** Whether a call that was accepted earlier may still be dispatched to the upstream. */
     public boolean mayDispatch(long now) {
         boolean inTime = now < leavingSince + drainMilliseconds - DRAIN_MARGIN_MILLISECONDS;
         return current != null && (!leaving || inTime);
--- a/core/src/main/java/org/damaskmoor/core/upstream/package-info.java
+++ b/core/src/main/java/org/damaskmoor/core/upstream/package-info.java
@@ -1,2 +1,2 @@
-/** What an upstream tells of itself, in the terms of this project. */
+/** The announcements, load reports and state of the upstream on this VM. */
 package org.damaskmoor.core.upstream;
--- a/core/src/test/java/org/damaskmoor/core/upstream/UpstreamTrackerTest.java
+++ b/core/src/test/java/org/damaskmoor/core/upstream/UpstreamTrackerTest.java
@@ -8,99 +8,99 @@
 import org.junit.jupiter.api.Test;
 
 class UpstreamTrackerTest {
-    private final UpstreamTracker register = new UpstreamTracker(2500);
+    private final UpstreamTracker tracker = new UpstreamTracker(2500);
 
     @Test
-    void should_take_calls_once_the_upstream_announced_itself() {
+    void should_accept_calls_once_the_upstream_announced_itself() {
         // given
-        assertThat(register.acceptsCalls()).isFalse();
+        assertThat(tracker.acceptsCalls()).isFalse();
 
         // when
-        Change change = register.onAnnouncement(announcement("i-1", 100, 1, false), 0);
+        Change change = tracker.onAnnouncement(announcement("i-1", 100, 1, false), 0);
 
         // then
         assertThat(change).isEqualTo(Change.APPEARED);
-        assertThat(register.acceptsCalls()).isTrue();
+        assertThat(tracker.acceptsCalls()).isTrue();
     }
 
     @Test
-    void should_ignore_a_late_announcement_of_a_former_incarnation() {
+    void should_ignore_a_late_announcement_of_an_earlier_incarnation() {
         // given
-        register.onAnnouncement(announcement("i-2", 200, 1, false), 0);
+        tracker.onAnnouncement(announcement("i-2", 200, 1, false), 0);
 
         // when
-        Change change = register.onAnnouncement(announcement("i-1", 100, 9, false), 10);
+        Change change = tracker.onAnnouncement(announcement("i-1", 100, 9, false), 10);
 
         // then
         assertThat(change).isEqualTo(Change.NONE);
-        assertThat(register.current().get().id()).isEqualTo(new UpstreamId("i-2"));
+        assertThat(tracker.current().get().id()).isEqualTo(new UpstreamId("i-2"));
     }
 
     @Test
-    void should_take_a_restart_under_the_same_id_for_a_new_incarnation() {
+    void should_treat_a_restart_with_the_same_id_as_a_new_incarnation() {
         // given
-        register.onAnnouncement(announcement("i-1", 100, 40, true), 0);
+        tracker.onAnnouncement(announcement("i-1", 100, 40, true), 0);
 
         // when
-        register.onAnnouncement(announcement("i-1", 300, 1, false), 1000);
+        tracker.onAnnouncement(announcement("i-1", 300, 1, false), 1000);
 
         // then
-        assertThat(register.acceptsCalls()).isTrue();
+        assertThat(tracker.acceptsCalls()).isTrue();
     }
 
     @Test
-    void should_not_return_to_a_incarnation_that_has_said_that_it_leaves() {
+    void should_not_accept_calls_for_an_incarnation_that_announced_leaving() {
         // given
-        register.onAnnouncement(announcement("i-1", 100, 1, false), 0);
-        register.onAnnouncement(announcement("i-1", 100, 2, true), 10);
+        tracker.onAnnouncement(announcement("i-1", 100, 1, false), 0);
+        tracker.onAnnouncement(announcement("i-1", 100, 2, true), 10);
 
         // when
-        register.onAnnouncement(announcement("i-1", 100, 3, false), 20);
+        tracker.onAnnouncement(announcement("i-1", 100, 3, false), 20);
 
         // then
-        assertThat(register.acceptsCalls()).isFalse();
-        assertThat(register.isLeaving()).isTrue();
+        assertThat(tracker.acceptsCalls()).isFalse();
+        assertThat(tracker.isLeaving()).isTrue();
     }
 
     @Test
-    void should_hand_nothing_over_near_the_end_of_the_drain_time() {
+    void should_not_dispatch_near_the_end_of_the_drain_time() {
         // given
-        register.onAnnouncement(announcement("i-1", 100, 1, false), 0);
+        tracker.onAnnouncement(announcement("i-1", 100, 1, false), 0);
 
         // when
-        Change change = register.onLeave(new UpstreamId("i-1"), OptionalLong.empty(), 1000);
+        Change change = tracker.onLeave(new UpstreamId("i-1"), OptionalLong.empty(), 1000);
 
         // then
         assertThat(change).isEqualTo(Change.LEAVING);
-        assertThat(register.mayDispatch(2000)).isTrue();
-        assertThat(register.mayDispatch(3200)).isFalse();
+        assertThat(tracker.mayDispatch(2000)).isTrue();
+        assertThat(tracker.mayDispatch(3200)).isFalse();
     }
 
     @Test
-    void should_ignore_the_leaving_of_another_incarnation() {
+    void should_ignore_a_leave_message_of_another_incarnation() {
         // given
-        register.onAnnouncement(announcement("i-1", 300, 1, false), 0);
+        tracker.onAnnouncement(announcement("i-1", 300, 1, false), 0);
 
         // when
-        register.onLeave(new UpstreamId("i-1"), OptionalLong.of(100), 10);
-        register.onLeave(new UpstreamId("i-0"), OptionalLong.empty(), 10);
+        tracker.onLeave(new UpstreamId("i-1"), OptionalLong.of(100), 10);
+        tracker.onLeave(new UpstreamId("i-0"), OptionalLong.empty(), 10);
 
         // then
-        assertThat(register.acceptsCalls()).isTrue();
+        assertThat(tracker.acceptsCalls()).isTrue();
     }
 
     @Test
-    void should_take_calls_again_when_an_upstream_that_was_down_announces_itself() {
+    void should_accept_calls_again_when_an_unreachable_upstream_announces_itself() {
         // given
-        register.onAnnouncement(announcement("i-1", 100, 1, false), 0);
-        register.markDown();
+        tracker.onAnnouncement(announcement("i-1", 100, 1, false), 0);
+        tracker.markDown();
 
         // when
-        Change change = register.onAnnouncement(announcement("i-1", 100, 2, false), 10);
+        Change change = tracker.onAnnouncement(announcement("i-1", 100, 2, false), 10);
 
         // then
         assertThat(change).isEqualTo(Change.APPEARED);
-        assertThat(register.acceptsCalls()).isTrue();
+        assertThat(tracker.acceptsCalls()).isTrue();
     }
 
     private static UpstreamAnnouncement announcement(
