--- a/core/src/main/java/org/damaskmoor/core/quarantine/CrashRecord.java
+++ b/core/src/main/java/org/damaskmoor/core/quarantine/CrashRecord.java
@@ -5,12 +5,12 @@
 import org.damaskmoor.schema.gossip.QuarantineRecord;
 
 /**
- * A request was in flight when an upstream crashed. Immutable and thread-safe.
+ * Records that a request was in flight when an upstream crashed. Immutable and thread-safe.
  *
- * @param fingerprint the request
- * @param node the node beside the upstream
- * @param incarnation the incarnation of that node
- * @param remainingSeconds how long this still counts
+ * @param fingerprint fingerprint of the request
+ * @param node the node of the crashed upstream
+ * @param incarnation incarnation of that node
+ * @param remainingSeconds time until the record expires
  */
 public record CrashRecord(
         RequestFingerprint fingerprint,
@@ -18,7 +18,7 @@
         Incarnation incarnation,
         int remainingSeconds) {
 
-    /** The record that a gossip message carries. */
+    /** Converts a record from a gossip message. */
     public static CrashRecord of(QuarantineRecord message) {
         return new CrashRecord(
                 new RequestFingerprint(message.getFingerprint()),
@@ -27,7 +27,7 @@
                 message.getRemainingSeconds());
     }
 
-    /** The record as a gossip message carries it. */
+    /** Converts the record for a gossip message. */
     public QuarantineRecord toMessage() {
         return QuarantineRecord.newBuilder()
                 .setFingerprint(fingerprint.value())
@@ -37,7 +37,7 @@
                 .build();
     }
 
-    /** The same record with less time left. */
+    /** Returns a copy with the given remaining time. */
     public CrashRecord withRemainingSeconds(int seconds) {
         return new CrashRecord(fingerprint, node, incarnation, seconds);
     }
--- a/core/src/main/java/org/damaskmoor/core/quarantine/Quarantine.java
+++ b/core/src/main/java/org/damaskmoor/core/quarantine/Quarantine.java
@@ -7,34 +7,34 @@
 import org.damaskmoor.core.quarantine.internal.CrashQuarantine;
 
 /**
- * Finds the requests that crash each upstream that runs them, and says which to refuse with {@code
+ * Detects requests that crash the upstreams that run them, and decides which to refuse with {@code
  * QUARANTINED}.
  *
  * <pre>{@code
- * if (quarantine.holds(fingerprint, now)) {
+ * if (quarantine.isQuarantined(fingerprint, now)) {
  *     // refuse with QUARANTINED, Retry-After quarantine.retryAfterMilliseconds(fingerprint, now)
  * }
  * }</pre>
  *
- * <p>A request is held when it was in flight at crashes of two different upstreams within a minute.
- * A request that was answered within the last minute crashes nothing and is not suspected, so that
- * a popular lookup survives the loss of a rack. Invariant: memory is bounded; the oldest suspicion
- * goes first. Times are in nanoseconds of one monotonic clock. Not thread-safe.
+ * <p>A request is quarantined when it was in flight at crashes of two different upstreams within a
+ * minute. A request that was answered within the last minute is not suspected, so that a popular
+ * lookup is not quarantined when a rack fails. Invariant: memory is bounded; the oldest suspected
+ * request is dropped first. Times are in nanoseconds of one monotonic clock. Not thread-safe.
  */
 public interface Quarantine {
-    /** An empty quarantine. */
+    /** Creates an empty quarantine. */
     static Quarantine create() {
         return new CrashQuarantine();
     }
 
-    /** An upstream answered the request. */
+    /** Called when an upstream answered the request. */
     void onAnswered(RequestFingerprint request, long nowNanoseconds);
 
     /**
-     * An upstream crashed. Not to be called for a planned stop.
+     * Called when an upstream crashed; not for a planned stop.
      *
-     * @param inFlight requests handed to it and not answered
-     * @return records to tell other nodes
+     * @param inFlight requests that were forwarded to it and not answered
+     * @return the new records, to be sent to other nodes
      */
     List<CrashRecord> onCrash(
             NodeId node,
@@ -42,15 +42,15 @@
             Collection<RequestFingerprint> inFlight,
             long nowNanoseconds);
 
-    /** Another node told of a crash. True: it was news and should be told on. */
+    /** Merges a record from another node; returns whether it was new and should be forwarded. */
     boolean merge(CrashRecord record, long nowNanoseconds);
 
-    /** Whether the request must be refused. */
+    /** Whether the request is quarantined and must be refused. */
     boolean isQuarantined(RequestFingerprint request, long nowNanoseconds);
 
-    /** Time until the request is let through again; 0 when it is not held. */
+    /** Time until the request is released from quarantine; 0 when it is not quarantined. */
     long retryAfterMilliseconds(RequestFingerprint request, long nowNanoseconds);
 
-    /** All records that still count. */
+    /** Returns all records that have not expired. */
     List<CrashRecord> records(long nowNanoseconds);
 }
--- a/core/src/main/java/org/damaskmoor/core/quarantine/RequestFingerprint.java
+++ b/core/src/main/java/org/damaskmoor/core/quarantine/RequestFingerprint.java
@@ -3,17 +3,17 @@
 import org.damaskmoor.core.hash.StableHash;
 
 /**
- * Recognises a request that its caller sends again: a hash of method, path, body and idempotency
- * key, the same at every node. Immutable and thread-safe.
+ * Identifies repetitions of a request: a hash of method, path, body and idempotency key that is the
+ * same at every node. Immutable and thread-safe.
  *
  * @param value the hash
  */
 public record RequestFingerprint(long value) {
     /**
-     * The fingerprint of a request.
+     * Computes the fingerprint of a request.
      *
      * @param path path and query as the caller sent them
-     * @param idempotencyKey empty when there is none
+     * @param idempotencyKey the idempotency key, or empty when there is none
      */
     public static RequestFingerprint of(
             String method, String path, byte[] body, String idempotencyKey) {
--- a/core/src/main/java/org/damaskmoor/core/quarantine/internal/AnsweredFingerprints.java
+++ b/core/src/main/java/org/damaskmoor/core/quarantine/internal/AnsweredFingerprints.java
@@ -3,10 +3,10 @@
 import org.damaskmoor.core.quarantine.RequestFingerprint;
 
 /**
- * Remembers fingerprints of requests that were answered of late.
+ * Remembers the fingerprints of recently answered requests.
  *
- * <p>A table of fixed size in which a later fingerprint overwrites an earlier one of the same slot:
- * it may forget, but never claims an answer that was not given. Not thread-safe.
+ * <p>A hash table of fixed size in which a fingerprint overwrites the earlier one in its slot. It
+ * may forget an answer, but never reports one that was not given. Not thread-safe.
  */
 final class AnsweredFingerprints {
     private static final int SLOTS = 4096;
--- a/core/src/main/java/org/damaskmoor/core/quarantine/internal/CrashHistory.java
+++ b/core/src/main/java/org/damaskmoor/core/quarantine/internal/CrashHistory.java
@@ -5,28 +5,29 @@
 import org.damaskmoor.core.quarantine.CrashRecord;
 
 /**
- * The crashes at which one request was in flight, one for each upstream, two at most.
+ * The crashes at which one request was in flight: at most two, of different upstreams.
  *
  * <p>Not thread-safe.
  */
 final class CrashHistory {
-    private static final int CRASHES_TO_HOLD = 2;
+    private static final int QUARANTINE_CRASHES = 2;
 
-    private final List<Crash> crashes = new ArrayList<>(CRASHES_TO_HOLD);
+    private final List<Crash> crashes = new ArrayList<>(QUARANTINE_CRASHES);
 
     private record Crash(CrashRecord record, long expiresAtNanoseconds) {}
 
     /**
-     * Takes a crash in; of more than two upstreams the two crashes that count for longest are kept.
+     * Adds a crash. Of crashes of more than two upstreams, the two that expire last are kept.
      *
-     * @param leastGainNanoseconds by how much longer it must count than what is kept already
-     * @return whether it was taken
+     * @param minExtensionNanoseconds by how much later it must expire than the crash that it
+     *     replaces
+     * @return whether the crash was added
      */
-    boolean add(CrashRecord record, long expiresAt, long leastGainNanoseconds, long now) {
+    boolean add(CrashRecord record, long expiresAt, long minExtensionNanoseconds, long now) {
         crashes.removeIf(crash -> crash.expiresAtNanoseconds - now <= 0);
         Crash replaced = replacedBy(record);
         if (replaced != null) {
-            if (expiresAt - replaced.expiresAtNanoseconds < leastGainNanoseconds) {
+            if (expiresAt - replaced.expiresAtNanoseconds < minExtensionNanoseconds) {
                 return false;
             }
             crashes.remove(replaced);
@@ -35,9 +36,9 @@
         return true;
     }
 
-    /** Time for which the request is held, counted from now; 0 or less: it is not held. */
+    /** Remaining time for which the request is quarantined; 0 or less when it is not. */
     long remainingNanoseconds(long now) {
-        if (crashes.size() < CRASHES_TO_HOLD) {
+        if (crashes.size() < QUARANTINE_CRASHES) {
             return 0;
         }
         return earliest().expiresAtNanoseconds - now;
@@ -47,7 +48,7 @@
         return crashes.stream().allMatch(crash -> crash.expiresAtNanoseconds - now <= 0);
     }
 
-    /** The records that still count, with the whole seconds left of each. */
+    /** Returns the records that have not expired, with the whole seconds left for each. */
     List<CrashRecord> records(long now) {
         List<CrashRecord> records = new ArrayList<>();
         for (Crash crash : crashes) {
@@ -59,14 +60,17 @@
         return records;
     }
 
-    /** The earlier crash of the same upstream, else the one that counts least when full. */
+    /**
+     * Returns the known crash of the same upstream, or the one that expires first when the history
+     * is full, or null.
+     */
     private Crash replacedBy(CrashRecord record) {
         for (Crash crash : crashes) {
             if (crash.record.node().equals(record.node())) {
                 return crash;
             }
         }
-        return crashes.size() < CRASHES_TO_HOLD ? null : earliest();
+        return crashes.size() < QUARANTINE_CRASHES ? null : earliest();
     }
 
     private Crash earliest() {
--- a/core/src/main/java/org/damaskmoor/core/quarantine/internal/CrashQuarantine.java
+++ b/core/src/main/java/org/damaskmoor/core/quarantine/internal/CrashQuarantine.java
@@ -14,30 +14,33 @@
 import org.damaskmoor.core.quarantine.RequestFingerprint;
 
 /**
- * Keeps a suspicion for each request that was in flight at a crash.
+ * Keeps a crash history for each request that was in flight at a crash.
  *
- * <p>A crash counts for {@link #WINDOW_SECONDS}; a request is held while two count, so that nodes
- * that heard of both hold it for about the same time. Invariant: at most {@link #MOST_SUSPICIONS}.
- * Not thread-safe.
+ * <p>A crash record expires after {@link #WINDOW_SECONDS}. A request is quarantined while it has
+ * two records, so that all nodes that know both quarantine it for about the same time. Invariant:
+ * at most {@link #MAX_SUSPECTS} histories. Not thread-safe.
  */
 public final class CrashQuarantine implements Quarantine {
     private static final int WINDOW_SECONDS = 60;
     private static final long WINDOW_NANOSECONDS = TimeUnit.SECONDS.toNanos(WINDOW_SECONDS);
 
-    /** A record that a peer tells of again counts no longer than this by its delay on the way. */
-    private static final long ECHO_NANOSECONDS = TimeUnit.SECONDS.toNanos(5);
+    /**
+     * A record from a peer replaces the known one of the same upstream only if it expires later by
+     * at least this much; a smaller difference is due to the gossip delay.
+     */
+    private static final long MIN_EXTENSION_NANOSECONDS = TimeUnit.SECONDS.toNanos(5);
 
-    private static final int MOST_SUSPICIONS = 1024;
-    private static final int MOST_PER_CRASH = 256;
+    private static final int MAX_SUSPECTS = 1024;
+    private static final int MAX_RECORDS_PER_CRASH = 256;
 
-    private final Map<RequestFingerprint, CrashHistory> suspicions = new LinkedHashMap<>();
+    private final Map<RequestFingerprint, CrashHistory> histories = new LinkedHashMap<>();
     private final AnsweredFingerprints answered = new AnsweredFingerprints();
 
     @Override
     public void onAnswered(RequestFingerprint request, long now) {
         answered.add(request, now);
-        if (!suspicions.isEmpty()) {
-            suspicions.remove(request);
+        if (!histories.isEmpty()) {
+            histories.remove(request);
         }
     }
 
@@ -47,48 +50,48 @@
             Incarnation incarnation,
             Collection<RequestFingerprint> inFlight,
             long now) {
-        List<CrashRecord> news = new ArrayList<>();
+        List<CrashRecord> newRecords = new ArrayList<>();
         for (RequestFingerprint request : inFlight) {
             CrashRecord record = new CrashRecord(request, node, incarnation, WINDOW_SECONDS);
-            if (news.size() < MOST_PER_CRASH && take(record, 1, now)) {
-                news.add(record);
+            if (newRecords.size() < MAX_RECORDS_PER_CRASH && addRecord(record, 1, now)) {
+                newRecords.add(record);
             }
         }
-        return news;
+        return newRecords;
     }
 
     @Override
     public boolean merge(CrashRecord record, long now) {
-        return take(record, ECHO_NANOSECONDS, now);
+        return addRecord(record, MIN_EXTENSION_NANOSECONDS, now);
     }
 
     @Override
     public boolean isQuarantined(RequestFingerprint request, long now) {
-        if (suspicions.isEmpty()) {
+        if (histories.isEmpty()) {
             return false;
         }
-        CrashHistory suspicion = suspicions.get(request);
-        return suspicion != null && suspicion.remainingNanoseconds(now) > 0;
+        CrashHistory history = histories.get(request);
+        return history != null && history.remainingNanoseconds(now) > 0;
     }
 
     @Override
     public long retryAfterMilliseconds(RequestFingerprint request, long now) {
-        CrashHistory suspicion = suspicions.get(request);
-        long held = suspicion == null ? 0 : suspicion.remainingNanoseconds(now);
-        return TimeUnit.NANOSECONDS.toMillis(Math.max(0, held));
+        CrashHistory history = histories.get(request);
+        long remaining = history == null ? 0 : history.remainingNanoseconds(now);
+        return TimeUnit.NANOSECONDS.toMillis(Math.max(0, remaining));
     }
 
     @Override
     public List<CrashRecord> records(long now) {
-        suspicions.values().removeIf(suspicion -> suspicion.isExpired(now));
+        histories.values().removeIf(history -> history.isExpired(now));
         List<CrashRecord> records = new ArrayList<>();
-        for (CrashHistory suspicion : suspicions.values()) {
-            records.addAll(suspicion.records(now));
+        for (CrashHistory history : histories.values()) {
+            records.addAll(history.records(now));
         }
         return records;
     }
 
-    private boolean take(CrashRecord record, long leastGainNanoseconds, long now) {
+    private boolean addRecord(CrashRecord record, long minExtensionNanoseconds, long now) {
         RequestFingerprint request = record.fingerprint();
         if (record.remainingSeconds() <= 0
                 || answered.answeredWithin(request, WINDOW_NANOSECONDS, now)) {
@@ -96,31 +99,31 @@
         }
         int seconds = Math.min(WINDOW_SECONDS, record.remainingSeconds());
         long expiresAt = now + TimeUnit.SECONDS.toNanos(seconds);
-        return suspicionOf(request, now).add(record, expiresAt, leastGainNanoseconds, now);
+        return historyOf(request, now).add(record, expiresAt, minExtensionNanoseconds, now);
     }
 
-    /** Rounded down, so that a record that is told on and on ends. */
+    /** Rounded down, so that a record that is forwarded repeatedly expires. */
     static int wholeSeconds(long nanoseconds) {
         return (int) Math.max(0, TimeUnit.NANOSECONDS.toSeconds(nanoseconds));
     }
 
-    private CrashHistory suspicionOf(RequestFingerprint request, long now) {
-        CrashHistory known = suspicions.get(request);
+    private CrashHistory historyOf(RequestFingerprint request, long now) {
+        CrashHistory known = histories.get(request);
         if (known != null) {
             return known;
         }
-        if (suspicions.size() >= MOST_SUSPICIONS) {
+        if (histories.size() >= MAX_SUSPECTS) {
             makeRoom(now);
         }
-        CrashHistory suspicion = new CrashHistory();
-        suspicions.put(request, suspicion);
-        return suspicion;
+        CrashHistory history = new CrashHistory();
+        histories.put(request, history);
+        return history;
     }
 
     private void makeRoom(long now) {
-        suspicions.values().removeIf(suspicion -> suspicion.isExpired(now));
-        if (suspicions.size() >= MOST_SUSPICIONS) {
-            Iterator<CrashHistory> oldest = suspicions.values().iterator();
+        histories.values().removeIf(history -> history.isExpired(now));
+        if (histories.size() >= MAX_SUSPECTS) {
+            Iterator<CrashHistory> oldest = histories.values().iterator();
             oldest.next();
             oldest.remove();
         }
--- a/core/src/main/java/org/damaskmoor/core/quarantine/package-info.java
+++ b/core/src/main/java/org/damaskmoor/core/quarantine/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Requests that crash the upstreams that run them.
+ * Quarantine of requests that crash the upstreams that run them.
  *
  * <p>Start at {@link org.damaskmoor.core.quarantine.Quarantine}.
  */
--- a/core/src/test/java/org/damaskmoor/core/quarantine/QuarantineTest.java
+++ b/core/src/test/java/org/damaskmoor/core/quarantine/QuarantineTest.java
@@ -20,7 +20,7 @@
     private static final Incarnation FIRST = new Incarnation(1);
     private static final NodeId NODE_A = new NodeId("a");
     private static final NodeId NODE_B = new NodeId("b");
-    private static final RequestFingerprint KILLER = new RequestFingerprint(7);
+    private static final RequestFingerprint CRASHING = new RequestFingerprint(7);
 
     private final Quarantine quarantine = Quarantine.create();
     private long now = Long.MAX_VALUE - 10 * SECOND;
@@ -28,59 +28,59 @@
     private record NaiveCrash(RequestFingerprint request, NodeId node, long at) {}
 
     @Test
-    void should_hold_a_request_when_it_was_in_flight_at_two_upstreams_crashes() {
+    void should_quarantine_a_request_that_was_in_flight_at_crashes_of_two_upstreams() {
         // when
-        crash(NODE_A, KILLER);
-        boolean afterOne = quarantine.isQuarantined(KILLER, now);
-        crash(NODE_B, KILLER);
+        crash(NODE_A, CRASHING);
+        boolean afterOne = quarantine.isQuarantined(CRASHING, now);
+        crash(NODE_B, CRASHING);
 
         // then
         assertThat(afterOne).isFalse();
-        assertThat(quarantine.isQuarantined(KILLER, now)).isTrue();
-        assertThat(quarantine.retryAfterMilliseconds(KILLER, now)).isEqualTo(60_000);
+        assertThat(quarantine.isQuarantined(CRASHING, now)).isTrue();
+        assertThat(quarantine.retryAfterMilliseconds(CRASHING, now)).isEqualTo(60_000);
         now += 61 * SECOND;
-        assertThat(quarantine.isQuarantined(KILLER, now)).isFalse();
+        assertThat(quarantine.isQuarantined(CRASHING, now)).isFalse();
     }
 
     @Test
     void should_not_count_two_crashes_of_the_same_upstream() {
         // when
-        crash(NODE_A, KILLER);
-        quarantine.onCrash(NODE_A, new Incarnation(2), List.of(KILLER), now);
+        crash(NODE_A, CRASHING);
+        quarantine.onCrash(NODE_A, new Incarnation(2), List.of(CRASHING), now);
 
         // then
-        assertThat(quarantine.isQuarantined(KILLER, now)).isFalse();
+        assertThat(quarantine.isQuarantined(CRASHING, now)).isFalse();
     }
 
     @Test
-    void should_not_suspect_a_request_that_was_answered_of_late() {
+    void should_not_suspect_a_recently_answered_request() {
         // given
-        quarantine.onAnswered(KILLER, now);
+        quarantine.onAnswered(CRASHING, now);
 
         // when
-        crash(NODE_A, KILLER);
-        crash(NODE_B, KILLER);
+        crash(NODE_A, CRASHING);
+        crash(NODE_B, CRASHING);
 
         // then
-        assertThat(quarantine.isQuarantined(KILLER, now)).isFalse();
+        assertThat(quarantine.isQuarantined(CRASHING, now)).isFalse();
     }
 
     @Test
-    void should_hold_a_request_when_a_peer_told_of_the_other_crash() {
+    void should_quarantine_a_request_when_a_peer_reported_the_other_crash() {
         // given
         Quarantine peer = Quarantine.create();
-        List<CrashRecord> told = peer.onCrash(NODE_A, FIRST, List.of(KILLER), now);
+        List<CrashRecord> sent = peer.onCrash(NODE_A, FIRST, List.of(CRASHING), now);
 
         // when
-        CrashRecord heard = CrashRecord.of(told.get(0).toMessage());
-        boolean news = quarantine.merge(heard, now);
-        boolean again = quarantine.merge(heard, now);
-        crash(NODE_B, KILLER);
+        CrashRecord received = CrashRecord.of(sent.get(0).toMessage());
+        boolean isNew = quarantine.merge(received, now);
+        boolean isNewAgain = quarantine.merge(received, now);
+        crash(NODE_B, CRASHING);
 
         // then
-        assertThat(news).isTrue();
-        assertThat(again).isFalse();
-        assertThat(quarantine.isQuarantined(KILLER, now)).isTrue();
+        assertThat(isNew).isTrue();
+        assertThat(isNewAgain).isFalse();
+        assertThat(quarantine.isQuarantined(CRASHING, now)).isTrue();
         assertThat(quarantine.records(now)).hasSize(2);
     }
 
@@ -119,7 +119,7 @@
     }
 
     @Property(seed = "1")
-    void should_hold_what_a_list_of_all_crashes_shows(@ForAll long seed) {
+    void should_agree_with_a_list_of_all_crashes(@ForAll long seed) {
         // given
         Random random = new Random(seed);
         Quarantine tested = Quarantine.create();
@@ -138,7 +138,7 @@
             for (int value = 0; value < 4; value++) {
                 RequestFingerprint each = new RequestFingerprint(value);
                 assertThat(tested.isQuarantined(each, time))
-                        .isEqualTo(naiveHolds(crashes, each, time));
+                        .isEqualTo(naiveIsQuarantined(crashes, each, time));
             }
         }
     }
@@ -147,7 +147,7 @@
         quarantine.onCrash(node, FIRST, List.of(request), now);
     }
 
-    private static boolean naiveHolds(
+    private static boolean naiveIsQuarantined(
             List<NaiveCrash> crashes, RequestFingerprint request, long now) {
         Set<NodeId> nodes = new HashSet<>();
         for (NaiveCrash crash : crashes) {
