--- a/core/src/main/java/org/damaskmoor/core/membership/DatagramSender.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/DatagramSender.java
@@ -3,14 +3,14 @@
 import java.net.InetSocketAddress;
 import org.damaskmoor.schema.gossip.GossipMessage;
 
-/** Sends one datagram. Called on the thread that drives the protocol; must not block. */
+/** Sends datagrams for the membership protocol. Called on the protocol thread; must not block. */
 @FunctionalInterface
 public interface DatagramSender {
     /**
-     * Sends a message that may be lost, doubled or overtaken.
+     * Sends a message, which may be lost, duplicated or reordered.
      *
-     * @param to where to
-     * @param message what; at most {@link MembershipSettings#datagramBytes()} bytes long
+     * @param to destination address
+     * @param message the message; at most {@link MembershipSettings#datagramBytes()} bytes long
      */
     void send(InetSocketAddress to, GossipMessage message);
 }
--- a/core/src/main/java/org/damaskmoor/core/membership/GossipExtension.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/GossipExtension.java
@@ -5,11 +5,11 @@
 import org.damaskmoor.schema.gossip.QuarantineRecord;
 
 /**
- * What rides on the membership protocol's datagrams besides members. Called on the thread that
- * drives the protocol.
+ * Supplies and receives the data that is piggybacked on the membership protocol's datagrams in
+ * addition to members. Called on the protocol thread.
  */
 public interface GossipExtension {
-    /** An extension that adds nothing and hears nothing. */
+    /** An extension that sends nothing and ignores everything. */
     GossipExtension NONE =
             new GossipExtension() {
                 @Override
@@ -24,7 +24,7 @@
 
                 @Override
                 public void onConfigurationDigest(NodeId from, long digest, long nowMilliseconds) {
-                    // Nothing to compare with.
+                    // There is no digest to compare with.
                 }
 
                 @Override
@@ -33,23 +33,23 @@
                 }
             };
 
-    /** Digest over all configuration versions that this node holds. */
+    /** Returns a digest over all configuration versions that this node has. */
     long configurationDigest();
 
     /**
-     * Hears that a node knows of a version.
+     * Called when a peer announced that a configuration version exists.
      *
-     * @return whether this was news, so that it is told onwards
+     * @return whether this was new, so that it is forwarded
      */
     boolean onConfigurationVersion(NodeId from, ConfigurationVersion version);
 
-    /** Hears a peer's digest. */
+    /** Called with the digest of a peer. */
     void onConfigurationDigest(NodeId from, long digest, long nowMilliseconds);
 
     /**
-     * Hears of a request fingerprint that crashes upstreams.
+     * Called when a peer reported the fingerprint of a request that crashes upstreams.
      *
-     * @return whether this was news, so that it is told onwards
+     * @return whether this was new, so that it is forwarded
      */
     boolean onQuarantine(QuarantineRecord record);
 }
--- a/core/src/main/java/org/damaskmoor/core/membership/MemberListener.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/MemberListener.java
@@ -1,8 +1,8 @@
 package org.damaskmoor.core.membership;
 
-/** Hears what changes in the group. Called on the thread that drives the protocol. */
+/** Receives membership changes. Called on the protocol thread. */
 @FunctionalInterface
 public interface MemberListener {
-    /** Called once for each change, in the order in which this node learnt of them. */
+    /** Called once for each change, in the order in which this node learned of them. */
     void onEvent(MemberEvent event);
 }
--- a/core/src/main/java/org/damaskmoor/core/membership/MembershipProtocol.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/MembershipProtocol.java
@@ -15,35 +15,35 @@
 import org.damaskmoor.schema.mesh.UpstreamState;
 
 /**
- * Keeps the list of all nodes current by gossip (SWIM with Lifeguard), without a leader and without
- * a store.
+ * Maintains the list of all nodes by gossip (SWIM with Lifeguard), without a leader and without a
+ * store.
  *
  * <pre>{@code
  * MembershipProtocol protocol = new MembershipProtocol(
  *         self, MembershipSettings.defaults(), transport::send, events::add, extension,
  *         random, now);
  * protocol.join(joinPoints, now);
- * // whenever a datagram comes:
+ * // for each received datagram:
  * protocol.receive(message, from, now);
  * // every 100 milliseconds:
  * protocol.tick(now);
  * }</pre>
  *
- * <p>Invariants: of a node id the greatest incarnation wins for good; a member of another region is
- * declared dead only by its own region, so that a cut between regions kills nobody; no datagram is
- * longer than the settings say. Not thread-safe: one thread drives it. Times are milliseconds of
- * one monotonic clock.
+ * <p>Invariants: for each node id, a lower incarnation never replaces a greater one; a member is
+ * declared dead only by its own region, so that a partition between regions does not cause deaths;
+ * no datagram exceeds the configured size. Not thread-safe: use it from a single thread, the
+ * protocol thread. Times are in milliseconds of one monotonic clock.
  */
 public final class MembershipProtocol {
-    /** How often {@link #tick} is to be called, in milliseconds. */
+    /** Interval at which {@link #tick} must be called, in milliseconds. */
     public static final long TICK_MILLISECONDS = 100;
 
     private final SwimProtocol protocol;
 
     /**
-     * Starts alone; call {@link #join} next.
+     * Creates a group with this node as its only member; call {@link #join} next.
      *
-     * @param self this node's record: id, fresh incarnation, region, data centre, address, ports,
+     * @param self this node's record: id, new incarnation, region, data centre, address, ports and
      *     service; its state is set to alive
      */
     public MembershipProtocol(
@@ -60,71 +60,83 @@
     }
 
     /**
-     * Fetches the members from one of these peers. May be called again at any time, for example
-     * with join points that are not members yet.
+     * Fetches the member list from one of the given peers. May be called again at any time, for
+     * example with join points that are not members yet.
      *
-     * @param peers gossip addresses; empty: this node is the first
+     * @param peers gossip addresses of the peers; empty for the first node
      */
     public void join(List<InetSocketAddress> peers, long nowMilliseconds) {
         protocol.join(peers, nowMilliseconds);
     }
 
-    /** Whether the list of members was fetched whole. */
+    /** Whether the complete member list has been fetched. */
     public boolean isJoined() {
         return protocol.isJoined();
     }
 
-    /** Takes in a datagram. */
+    /** Processes a received datagram. */
     public void receive(GossipMessage message, InetSocketAddress from, long nowMilliseconds) {
         protocol.receive(message, from, nowMilliseconds);
     }
 
-    /** Does what is due. */
+    /** Performs all actions that are due. */
     public void tick(long nowMilliseconds) {
         protocol.tick(nowMilliseconds);
     }
 
-    /** Tells all members a change of the own upstream; without a change nothing is sent. */
+    /**
+     * Announces the state and capacity of this node's upstream to all members; does nothing when
+     * neither has changed.
+     */
     public void announceUpstream(UpstreamState state, int capacity, long nowMilliseconds) {
         protocol.announceUpstream(state, capacity, nowMilliseconds);
     }
 
-    /** Tells all members which service the own upstream runs; without a change nothing is sent. */
+    /**
+     * Announces the service that this node's upstream runs to all members; does nothing when it has
+     * not changed.
+     */
     public void announceService(ServiceName service, long nowMilliseconds) {
         protocol.announceService(service.value(), nowMilliseconds);
     }
 
-    /** Tells that this node leaves. Keep ticking for two seconds, so that the news gets out. */
+    /**
+     * Announces that this node leaves. Keep calling {@link #tick} for two seconds, so that the
+     * announcement spreads.
+     */
     public void leave(long nowMilliseconds) {
         protocol.leave(nowMilliseconds);
     }
 
-    /** Tells all nodes that a version of a service's configuration exists. */
+    /** Announces to all nodes that a version of a service's configuration exists. */
     public void broadcast(ConfigurationVersion version) {
         protocol.broadcast(version);
     }
 
-    /** Tells all nodes of a request that crashes upstreams. */
+    /** Announces to all nodes a request that crashes upstreams. */
     public void broadcast(QuarantineRecord record) {
         protocol.broadcast(record);
     }
 
-    /** Tells one member which versions this node holds, in as many datagrams as needed. */
+    /** Sends the given configuration versions to one member, in as many datagrams as needed. */
     public void sendVersions(NodeId member, List<ConfigurationVersion> versions) {
         protocol.sendVersions(member.value(), versions);
     }
 
-    /** This node's record as it stands. */
+    /** Returns this node's current record. */
     public MemberRecord self() {
         return protocol.self();
     }
 
-    /** All records, also of those suspect, dead and left, in order of node id. */
+    /**
+     * Returns all records, including those of suspect, dead and departed members, in order of node
+     * id.
+     */
     public List<MemberRecord> members() {
         return protocol.members();
     }
 
-    /** One record. */
+    /** Returns the record of one member. */
     public Optional<MemberRecord> member(NodeId id) {
         return protocol.member(id.value());
     }
@@ -134,7 +146,7 @@
         return protocol.isUnreachable(region.value());
     }
 
-    /** How much this node doubts itself: 0 (not at all) to 8. */
+    /** Local health score: 0 (healthy) to 8 (this node itself is probably slow). */
     public int localHealthScore() {
         return protocol.localHealthScore();
     }
--- a/core/src/main/java/org/damaskmoor/core/membership/MembershipSettings.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/MembershipSettings.java
@@ -1,20 +1,21 @@
 package org.damaskmoor.core.membership;
 
 /**
- * The times and bounds of the membership protocol. Immutable and thread-safe.
+ * The intervals, timeouts and limits of the membership protocol. Immutable and thread-safe.
  *
- * @param probeIntervalMilliseconds time between two probes of a node within its region
- * @param probeTimeoutMilliseconds wait for a direct answer before others are asked to probe
- * @param gossipIntervalMilliseconds time between two rounds of spreading fresh news
- * @param gossipFanout members that a round of news goes to
- * @param indirectProbes members asked to probe when the direct probe got no answer
- * @param suspicionMultiplier shortest wait for a refutation, in probe intervals per decade of
+ * @param probeIntervalMilliseconds interval between two probes that a node sends within its region
+ * @param probeTimeoutMilliseconds timeout of a direct probe, after which other members are asked to
+ *     probe
+ * @param gossipIntervalMilliseconds interval between two gossip rounds
+ * @param gossipFanout number of members that a gossip round is sent to
+ * @param indirectProbes number of members asked to probe after a direct probe timed out
+ * @param suspicionMultiplier minimum suspicion timeout, in probe intervals per power of ten of
  *     members
- * @param suspicionStretch longest wait as a multiple of the shortest
- * @param bridges members of a region that probe one other region
- * @param digestIntervalMilliseconds time between two exchanges of digests
- * @param tombstoneMilliseconds how long dead and left members are remembered
- * @param datagramBytes longest datagram
+ * @param suspicionStretch maximum suspicion timeout as a multiple of the minimum
+ * @param bridges number of members of a region that probe each other region
+ * @param digestIntervalMilliseconds interval between two digest exchanges
+ * @param tombstoneMilliseconds how long the records of dead and departed members are kept
+ * @param datagramBytes maximum size of a datagram
  */
 public record MembershipSettings(
         long probeIntervalMilliseconds,
@@ -30,7 +31,7 @@
         int datagramBytes) {
     private static final long DAY_MILLISECONDS = 86_400_000;
 
-    /** The settings that nodes run with. */
+    /** The settings used in production. */
     public static MembershipSettings defaults() {
         return new MembershipSettings(
                 1_000, 300, 100, 3, 3, 3, 6, 3, 30_000, DAY_MILLISECONDS, 1_200);
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/AntiEntropy.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/AntiEntropy.java
@@ -12,50 +12,50 @@
 import org.damaskmoor.schema.gossip.MemberRecord;
 
 /**
- * Brings together two members that hold different records: digests are exchanged now and then, and
- * only records of differing buckets are sent.
+ * Anti-entropy between members with different records: exchanges digests periodically and sends
+ * only the records of differing buckets.
  *
- * <p>Invariant: digests that differ are answered with a bounded number of buckets. Confined to the
- * thread that drives the protocol.
+ * <p>Invariant: the answer to differing digests covers a bounded number of buckets. Not
+ * thread-safe; used on the protocol thread.
  */
 final class AntiEntropy {
     private static final int BUCKETS_PER_ANSWER = 8;
-    private static final int MOST_PER_PAGE = 40;
+    private static final int MAX_RECORDS_PER_PAGE = 40;
     private static final int PAGE_OVERHEAD_BYTES = 250;
     private static final long REPEAT_INTERVAL_MILLISECONDS = 3_000;
 
-    private final MembershipView group;
-    private final RegionReachability regions;
+    private final MembershipView view;
+    private final RegionReachability regionReachability;
     private final Map<String, Long> nextExchangeMilliseconds = new HashMap<>();
 
-    AntiEntropy(MembershipView group, RegionReachability regions) {
-        this.group = group;
-        this.regions = regions;
+    AntiEntropy(MembershipView view, RegionReachability regionReachability) {
+        this.view = view;
+        this.regionReachability = regionReachability;
     }
 
     void tick(long nowMilliseconds) {
-        exchangeWhenDue(group.region(), nowMilliseconds);
-        for (String region : regions.bridgedRegions()) {
+        exchangeWhenDue(view.region(), nowMilliseconds);
+        for (String region : regionReachability.bridgedRegions()) {
             exchangeWhenDue(region, nowMilliseconds);
         }
     }
 
     private void exchangeWhenDue(String region, long nowMilliseconds) {
-        long interval = group.settings.digestIntervalMilliseconds();
+        long interval = view.settings.digestIntervalMilliseconds();
         Long due = nextExchangeMilliseconds.get(region);
         if (due == null) {
-            long first = nowMilliseconds + group.random.nextLong(interval);
+            long first = nowMilliseconds + view.random.nextLong(interval);
             nextExchangeMilliseconds.put(region, first);
         } else if (nowMilliseconds >= due) {
             nextExchangeMilliseconds.put(region, nowMilliseconds + interval);
-            Member peer = group.table.randomIn(region, group.self.getNodeId());
+            Member peer = view.table.randomIn(region, view.self.getNodeId());
             if (peer != null) {
                 sendDigests(peer.address(), false);
             }
         }
     }
 
-    /** Exchanges digests with a region at the next tick. */
+    /** Schedules a digest exchange with a region for the next tick. */
     void scheduleExchange(String region) {
         nextExchangeMilliseconds.put(region, 0L);
     }
@@ -63,9 +63,10 @@
     private void sendDigests(InetSocketAddress to, boolean answer) {
         MemberDigests.Builder digests = MemberDigests.newBuilder().setAnswer(answer);
         for (int bucket = 0; bucket < RecordOrder.buckets(); bucket++) {
-            digests.addBuckets(group.table.digest(bucket));
+            digests.addBuckets(view.table.digest(bucket));
         }
-        group.outbox.sendWithoutPiggyback(to, GossipMessage.newBuilder().setMemberDigests(digests));
+        view.messageSender.sendWithoutPiggyback(
+                to, GossipMessage.newBuilder().setMemberDigests(digests));
     }
 
     void onDigests(
@@ -77,10 +78,10 @@
         if (!digests.getAnswer()) {
             sendDigests(from, true);
         }
-        sendPages(group.table.recordsInBuckets(differing), from);
+        sendPages(view.table.recordsInBuckets(differing), from);
         if (digests.getAnswer() && peer != null) {
-            long again = nowMilliseconds + REPEAT_INTERVAL_MILLISECONDS;
-            nextExchangeMilliseconds.merge(peer.record.getRegion(), again, Math::min);
+            long next = nowMilliseconds + REPEAT_INTERVAL_MILLISECONDS;
+            nextExchangeMilliseconds.merge(peer.record.getRegion(), next, Math::min);
         }
     }
 
@@ -89,10 +90,10 @@
         if (digests.getBucketsCount() != RecordOrder.buckets()) {
             return differing;
         }
-        int offset = group.random.nextInt(RecordOrder.buckets());
+        int offset = view.random.nextInt(RecordOrder.buckets());
         for (int i = 0; i < RecordOrder.buckets(); i++) {
             int bucket = (i + offset) % RecordOrder.buckets();
-            boolean differs = group.table.digest(bucket) != digests.getBuckets(bucket);
+            boolean differs = view.table.digest(bucket) != digests.getBuckets(bucket);
             if (differs && differing.cardinality() < BUCKETS_PER_ANSWER) {
                 differing.set(bucket);
             }
@@ -103,26 +104,27 @@
     private void sendPages(List<MemberRecord> records, InetSocketAddress to) {
         int start = 0;
         while (start < records.size()) {
-            MemberPage.Builder page = MemberPage.newBuilder();
-            List<MemberRecord> fitting = firstPage(records.subList(start, records.size()));
-            page.addAllMembers(fitting);
-            start += fitting.size();
-            group.outbox.sendWithoutPiggyback(to, GossipMessage.newBuilder().setMemberPage(page));
+            MemberPage.Builder message = MemberPage.newBuilder();
+            List<MemberRecord> page = firstPage(records.subList(start, records.size()));
+            message.addAllMembers(page);
+            start += page.size();
+            view.messageSender.sendWithoutPiggyback(
+                    to, GossipMessage.newBuilder().setMemberPage(message));
         }
     }
 
-    /** The first records that fit into one datagram; at least one. */
+    /** Returns the first records that fit into one datagram, at least one. */
     List<MemberRecord> firstPage(Iterable<MemberRecord> records) {
-        int left = group.settings.datagramBytes() - PAGE_OVERHEAD_BYTES;
-        List<MemberRecord> fitting = new ArrayList<>();
+        int remainingBytes = view.settings.datagramBytes() - PAGE_OVERHEAD_BYTES;
+        List<MemberRecord> page = new ArrayList<>();
         for (MemberRecord record : records) {
-            left -= record.getSerializedSize() + 3;
-            boolean full = fitting.size() == MOST_PER_PAGE || left < 0;
-            if (full && !fitting.isEmpty()) {
+            remainingBytes -= record.getSerializedSize() + 3;
+            boolean full = page.size() == MAX_RECORDS_PER_PAGE || remainingBytes < 0;
+            if (full && !page.isEmpty()) {
                 break;
             }
-            fitting.add(record);
+            page.add(record);
         }
-        return fitting;
+        return page;
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/BroadcastQueue.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/BroadcastQueue.java
@@ -14,75 +14,78 @@
 import org.damaskmoor.schema.gossip.RegionOpinion;
 
 /**
- * News that waits to ride on datagrams, what was sent least often first.
+ * Queue of updates to be piggybacked on datagrams; the updates sent least often go first.
  *
- * <p>Invariants: of each subject only the newest item waits; each item is handed out a bounded
- * number of times. Confined to the thread that drives the protocol.
+ * <p>Invariants: only the newest update of each subject is sent; each update is sent a bounded
+ * number of times. Not thread-safe; used on the protocol thread.
  */
 final class BroadcastQueue {
     private static final int FIELD_OVERHEAD_BYTES = 4;
 
-    private final Map<Object, Long> newest = new HashMap<>();
-    private final List<Deque<Item>> bySendings = new ArrayList<>();
+    private final Map<Object, Long> newestNumbers = new HashMap<>();
+    private final List<Deque<Update>> byTransmissions = new ArrayList<>();
 
     private long added;
 
-    private record Item(Object subject, long number, MessageLite content) {}
+    private record Update(Object subject, long number, MessageLite content) {}
 
     private record Subject(Class<?> kind, Object name) {}
 
     void add(MessageLite content) {
         Object subject = subjectOf(content);
-        Item item = new Item(subject, ++added, content);
-        newest.put(subject, added);
-        level(0).addFirst(item);
+        Update update = new Update(subject, ++added, content);
+        newestNumbers.put(subject, added);
+        level(0).addFirst(update);
     }
 
     boolean isEmpty() {
-        return newest.isEmpty();
+        return newestNumbers.isEmpty();
     }
 
-    /** Puts items into the message until it is full, each at most {@code limit} times in all. */
+    /**
+     * Adds updates to the message until it is full, each update at most {@code limit} times in
+     * total.
+     */
     void fill(GossipMessage.Builder message, int budgetBytes, int limit) {
-        int left = budgetBytes;
-        List<Item> taken = new ArrayList<>();
+        int remainingBytes = budgetBytes;
+        List<Update> taken = new ArrayList<>();
         List<Integer> levels = new ArrayList<>();
-        for (int sendings = 0; sendings < bySendings.size(); sendings++) {
-            Deque<Item> waiting = bySendings.get(sendings);
-            Item item = waiting.peekFirst();
-            while (item != null) {
-                boolean stale = newest.getOrDefault(item.subject, 0L) != item.number;
-                if (!stale && sendings < limit) {
-                    int bytes = item.content.getSerializedSize() + FIELD_OVERHEAD_BYTES;
-                    if (bytes > left) {
-                        putBack(taken, levels);
+        for (int transmissions = 0; transmissions < byTransmissions.size(); transmissions++) {
+            Deque<Update> queue = byTransmissions.get(transmissions);
+            Update update = queue.peekFirst();
+            while (update != null) {
+                boolean stale = newestNumbers.getOrDefault(update.subject, 0L) != update.number;
+                if (!stale && transmissions < limit) {
+                    int bytes = update.content.getSerializedSize() + FIELD_OVERHEAD_BYTES;
+                    if (bytes > remainingBytes) {
+                        requeue(taken, levels);
                         return;
                     }
-                    left -= bytes;
-                    append(message, item.content);
-                    taken.add(item);
-                    levels.add(sendings + 1);
+                    remainingBytes -= bytes;
+                    append(message, update.content);
+                    taken.add(update);
+                    levels.add(transmissions + 1);
                 } else if (!stale) {
-                    newest.remove(item.subject);
+                    newestNumbers.remove(update.subject);
                 }
-                waiting.removeFirst();
-                item = waiting.peekFirst();
+                queue.removeFirst();
+                update = queue.peekFirst();
             }
         }
-        putBack(taken, levels);
+        requeue(taken, levels);
     }
 
-    private void putBack(List<Item> taken, List<Integer> levels) {
+    private void requeue(List<Update> taken, List<Integer> levels) {
         for (int i = 0; i < taken.size(); i++) {
             level(levels.get(i)).addLast(taken.get(i));
         }
     }
 
-    private Deque<Item> level(int sendings) {
-        while (bySendings.size() <= sendings) {
-            bySendings.add(new ArrayDeque<>());
+    private Deque<Update> level(int transmissions) {
+        while (byTransmissions.size() <= transmissions) {
+            byTransmissions.add(new ArrayDeque<>());
         }
-        return bySendings.get(sendings);
+        return byTransmissions.get(transmissions);
     }
 
     private static void append(GossipMessage.Builder message, MessageLite content) {
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/Disseminator.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/Disseminator.java
@@ -10,15 +10,15 @@
 import org.damaskmoor.schema.gossip.RegionOpinion;
 
 /**
- * Where news goes: to the own region by every member, to another region only by the members that
- * bridge to it, and of members only those of the own region.
+ * Disseminates updates by gossip. Every member sends to its local region; only bridges send to
+ * another region, and of member records only those of the local region.
  *
- * <p>Confined to the thread that drives the protocol.
+ * <p>Not thread-safe; used on the protocol thread.
  */
 final class Disseminator {
-    private static final int SENDINGS_PER_DECADE = 4;
-    private static final int FEWEST_DECADES = 2;
-    private static final int SENDINGS_TO_OTHER_REGION = 2;
+    private static final int TRANSMISSIONS_PER_DECADE = 4;
+    private static final int MIN_DECADES = 2;
+    private static final int TRANSMISSIONS_TO_OTHER_REGION = 2;
 
     private final String ownRegion;
     private final BroadcastQueue local = new BroadcastQueue();
@@ -29,21 +29,21 @@
     }
 
     void add(MessageLite content) {
-        MessageLite told = content instanceof MemberRecord member ? shorten(member) : content;
-        local.add(told);
+        MessageLite update = content instanceof MemberRecord member ? shorten(member) : content;
+        local.add(update);
         if (isForOtherRegions(content)) {
-            remote.values().forEach(queue -> queue.add(told));
+            remote.values().forEach(queue -> queue.add(update));
         }
     }
 
     /**
-     * Of the suspect and the dead only what changed is told: when many fail at once this is most of
-     * the traffic, and the others know the rest.
+     * Omits the unchanged fields of suspect and dead members: these records are most of the traffic
+     * when many members fail at once, and receivers know the other fields.
      */
     private static MemberRecord shorten(MemberRecord member) {
-        boolean judged =
+        boolean suspectOrDead =
                 member.getState() == MemberState.SUSPECT || member.getState() == MemberState.DEAD;
-        if (!judged) {
+        if (!suspectOrDead) {
             return member;
         }
         return MemberRecord.newBuilder()
@@ -62,7 +62,7 @@
         return !(content instanceof RegionOpinion);
     }
 
-    /** Tells which regions this node bridges to from now on. */
+    /** Sets the regions for which this node is a bridge. */
     void setBridgedRegions(Set<String> regions) {
         remote.keySet().retainAll(regions);
         regions.forEach(region -> remote.computeIfAbsent(region, name -> new BroadcastQueue()));
@@ -80,12 +80,14 @@
         }
         boolean own = region.equals(ownRegion);
         queue.fill(
-                message, budgetBytes, own ? localSendings(regionSize) : SENDINGS_TO_OTHER_REGION);
+                message,
+                budgetBytes,
+                own ? localTransmissions(regionSize) : TRANSMISSIONS_TO_OTHER_REGION);
     }
 
-    private static int localSendings(int regionSize) {
-        double decades = Math.max(FEWEST_DECADES, Math.ceil(Math.log10(regionSize + 1.0)));
-        return SENDINGS_PER_DECADE * (int) decades;
+    private static int localTransmissions(int regionSize) {
+        double decades = Math.max(MIN_DECADES, Math.ceil(Math.log10(regionSize + 1.0)));
+        return TRANSMISSIONS_PER_DECADE * (int) decades;
     }
 
     private BroadcastQueue queueFor(String region) {
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/IndirectProbes.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/IndirectProbes.java
@@ -11,64 +11,68 @@
 import org.damaskmoor.schema.gossip.PingRequest;
 
 /**
- * Probes made on behalf of others. When the target does not answer in time the asker is told so: it
- * then knows that its own link works (Lifeguard).
+ * Probes members on behalf of others (SWIM ping requests). When the target does not answer in time,
+ * the requester gets a negative acknowledgement, which shows that its own network works
+ * (Lifeguard).
  *
- * <p>Invariant: each request is answered at most once with a negative acknowledgement. Confined to
- * the thread that drives the protocol.
+ * <p>Invariant: each request gets at most one negative acknowledgement. Not thread-safe; used on
+ * the protocol thread.
  */
 final class IndirectProbes {
-    private static final int MOST_AT_ONCE = 1_000;
+    private static final int MAX_PENDING = 1_000;
 
-    private final MembershipView group;
-    private final Map<Long, Relay> bySequence = new HashMap<>();
+    private final MembershipView view;
+    private final Map<Long, PendingProbe> bySequence = new HashMap<>();
 
-    private record Relay(
-            InetSocketAddress asker, Member askingMember, PingRequest request, long deadline) {}
+    private record PendingProbe(
+            InetSocketAddress requester,
+            Member requestingMember,
+            PingRequest request,
+            long deadline) {}
 
-    IndirectProbes(MembershipView group) {
-        this.group = group;
+    IndirectProbes(MembershipView view) {
+        this.view = view;
     }
 
     void onRequest(
-            PingRequest request, InetSocketAddress asker, Member member, long nowMilliseconds) {
-        Member target = group.table.find(request.getTarget());
-        if (target == null || bySequence.size() >= MOST_AT_ONCE) {
+            PingRequest request, InetSocketAddress requester, Member member, long nowMilliseconds) {
+        Member target = view.table.find(request.getTarget());
+        if (target == null || bySequence.size() >= MAX_PENDING) {
             return;
         }
         Ping.Builder ping = Ping.newBuilder().setTarget(target.id());
-        long sequence = group.outbox.send(target, GossipMessage.newBuilder().setPing(ping));
-        long deadline = nowMilliseconds + group.settings.probeTimeoutMilliseconds();
-        bySequence.put(sequence, new Relay(asker, member, request, deadline));
+        long sequence = view.messageSender.send(target, GossipMessage.newBuilder().setPing(ping));
+        long deadline = nowMilliseconds + view.settings.probeTimeoutMilliseconds();
+        bySequence.put(sequence, new PendingProbe(requester, member, request, deadline));
     }
 
     void onAcknowledgement(Acknowledgement acknowledgement) {
-        Relay relay = bySequence.remove(acknowledgement.getOfSequence());
-        if (relay != null) {
+        PendingProbe pending = bySequence.remove(acknowledgement.getOfSequence());
+        if (pending != null) {
             Acknowledgement.Builder forwarded =
                     Acknowledgement.newBuilder()
-                            .setTarget(relay.request.getTarget())
-                            .setOfSequence(relay.request.getSequence());
-            send(relay, GossipMessage.newBuilder().setAcknowledgement(forwarded));
+                            .setTarget(pending.request.getTarget())
+                            .setOfSequence(pending.request.getSequence());
+            send(pending, GossipMessage.newBuilder().setAcknowledgement(forwarded));
         }
     }
 
     void tick(long nowMilliseconds) {
-        Iterator<Relay> relays = bySequence.values().iterator();
-        while (relays.hasNext()) {
-            Relay relay = relays.next();
-            if (nowMilliseconds >= relay.deadline) {
-                relays.remove();
-                NegativeAcknowledgement.Builder silent =
+        Iterator<PendingProbe> probes = bySequence.values().iterator();
+        while (probes.hasNext()) {
+            PendingProbe pending = probes.next();
+            if (nowMilliseconds >= pending.deadline) {
+                probes.remove();
+                NegativeAcknowledgement.Builder negative =
                         NegativeAcknowledgement.newBuilder()
-                                .setTarget(relay.request.getTarget())
-                                .setOfSequence(relay.request.getSequence());
-                send(relay, GossipMessage.newBuilder().setNegativeAcknowledgement(silent));
+                                .setTarget(pending.request.getTarget())
+                                .setOfSequence(pending.request.getSequence());
+                send(pending, GossipMessage.newBuilder().setNegativeAcknowledgement(negative));
             }
         }
     }
 
-    private void send(Relay relay, GossipMessage.Builder message) {
-        group.outbox.send(relay.asker, relay.askingMember, message);
+    private void send(PendingProbe pending, GossipMessage.Builder message) {
+        view.messageSender.send(pending.requester, pending.requestingMember, message);
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/Joiner.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/Joiner.java
@@ -9,49 +9,52 @@
 import org.damaskmoor.schema.gossip.MemberRecord;
 
 /**
- * Fetches all members page by page from one peer, and from the next peer when one falls silent.
+ * Fetches the member list page by page from one peer, and from the next peer when one stops
+ * answering.
  *
- * <p>Invariant: pages are taken in order of node id; one that was doubled or overtaken is taken in
- * as records but does not move the place. Confined to the thread that drives the protocol.
+ * <p>Invariant: pages are fetched in order of node id; the records of a duplicated or reordered
+ * page are merged, but the page does not move the position. Not thread-safe; used on the protocol
+ * thread.
  */
 final class Joiner {
-    private static final long ANSWER_TIMEOUT_MILLISECONDS = 1_000;
-    private static final int MOST_PER_PAGE = 40;
+    private static final long PAGE_TIMEOUT_MILLISECONDS = 1_000;
+    private static final int MAX_RECORDS_PER_PAGE = 40;
 
-    private final MembershipView group;
-    private final AntiEntropy pages;
+    private final MembershipView view;
+    private final AntiEntropy antiEntropy;
     private final List<InetSocketAddress> peers = new ArrayList<>();
-    private int peer;
-    private String place = "";
+    private int peerIndex;
+    private String position = "";
     private boolean joining;
     private boolean joined;
     private long deadlineMilliseconds;
 
-    Joiner(MembershipView group, AntiEntropy pages) {
-        this.group = group;
-        this.pages = pages;
+    Joiner(MembershipView view, AntiEntropy antiEntropy) {
+        this.view = view;
+        this.antiEntropy = antiEntropy;
     }
 
     boolean isJoined() {
         return joined;
     }
 
-    /** Starts over with these peers; without any this node is the first of its group. */
+    /**
+     * Restarts the join with the given peers; without peers this node is the first of its group.
+     */
     void join(List<InetSocketAddress> addresses, long nowMilliseconds) {
         peers.clear();
         peers.addAll(addresses);
-        peer = 0;
-        place = "";
+        peerIndex = 0;
+        position = "";
         joining = !peers.isEmpty();
         joined = joined || peers.isEmpty();
         if (joining) {
-            ask(nowMilliseconds);
+            requestPage(nowMilliseconds);
         }
     }
 
     /**
-     * A node that is not known here asks for this one: when no join point could be read, it is the
-     * first peer.
+     * Joins through an unknown node that sent a ping to this one, when no join point could be read.
      */
     void joinThrough(InetSocketAddress address, long nowMilliseconds) {
         if (!joined && !joining) {
@@ -61,44 +64,48 @@
 
     void tick(long nowMilliseconds) {
         if (joining && nowMilliseconds >= deadlineMilliseconds) {
-            peer = (peer + 1) % peers.size();
-            ask(nowMilliseconds);
+            peerIndex = (peerIndex + 1) % peers.size();
+            requestPage(nowMilliseconds);
         }
     }
 
-    private void ask(long nowMilliseconds) {
-        deadlineMilliseconds = nowMilliseconds + ANSWER_TIMEOUT_MILLISECONDS;
-        Join.Builder join = Join.newBuilder().setSelf(group.self).setFrom(place);
-        group.outbox.sendWithoutPiggyback(
-                peers.get(peer), GossipMessage.newBuilder().setJoin(join));
+    private void requestPage(long nowMilliseconds) {
+        deadlineMilliseconds = nowMilliseconds + PAGE_TIMEOUT_MILLISECONDS;
+        Join.Builder join = Join.newBuilder().setSelf(view.self).setFrom(position);
+        view.messageSender.sendWithoutPiggyback(
+                peers.get(peerIndex), GossipMessage.newBuilder().setJoin(join));
     }
 
     void onJoin(Join join, InetSocketAddress from, long nowMilliseconds) {
-        group.mergeRecord(join.getSelf(), true, nowMilliseconds);
-        List<MemberRecord> waiting = group.table.recordsFrom(join.getFrom(), MOST_PER_PAGE + 1);
-        List<MemberRecord> fitting = pages.firstPage(waiting);
+        view.mergeRecord(join.getSelf(), true, nowMilliseconds);
+        List<MemberRecord> records =
+                view.table.recordsFrom(join.getFrom(), MAX_RECORDS_PER_PAGE + 1);
+        List<MemberRecord> firstRecords = antiEntropy.firstPage(records);
         String next =
-                fitting.size() < waiting.size() ? waiting.get(fitting.size()).getNodeId() : "";
+                firstRecords.size() < records.size()
+                        ? records.get(firstRecords.size()).getNodeId()
+                        : "";
         MemberPage.Builder page =
                 MemberPage.newBuilder()
-                        .addAllMembers(fitting)
+                        .addAllMembers(firstRecords)
                         .setFrom(join.getFrom())
                         .setNext(next)
                         .setJoining(true);
-        group.outbox.sendWithoutPiggyback(from, GossipMessage.newBuilder().setMemberPage(page));
+        view.messageSender.sendWithoutPiggyback(
+                from, GossipMessage.newBuilder().setMemberPage(page));
     }
 
     void onPage(MemberPage page, long nowMilliseconds) {
-        if (!joining || !page.getJoining() || !page.getFrom().equals(place)) {
+        if (!joining || !page.getJoining() || !page.getFrom().equals(position)) {
             return;
         }
         if (page.getNext().isEmpty()) {
             joining = false;
             joined = true;
-            group.spread.add(group.self);
+            view.disseminator.add(view.self);
             return;
         }
-        place = page.getNext();
-        ask(nowMilliseconds);
+        position = page.getNext();
+        requestPage(nowMilliseconds);
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/LocalHealth.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/LocalHealth.java
@@ -1,13 +1,13 @@
 package org.damaskmoor.core.membership.internal;
 
 /**
- * How much this node doubts itself (Lifeguard's local health multiplier): a node that misses
- * answers waits longer before it suspects others.
+ * Lifeguard's local health multiplier: a node that misses answers waits longer before it suspects
+ * others.
  *
- * <p>Invariant: the score lies in 0 to 8. Confined to the thread that drives the protocol.
+ * <p>Invariant: the score is between 0 and 8. Not thread-safe; used on the protocol thread.
  */
 final class LocalHealth {
-    private static final int WORST_SCORE = 8;
+    private static final int MAX_SCORE = 8;
 
     private int score;
 
@@ -16,7 +16,7 @@
     }
 
     void degrade(int by) {
-        score = Math.min(WORST_SCORE, score + by);
+        score = Math.min(MAX_SCORE, score + by);
     }
 
     long scale(long milliseconds) {
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/Member.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/Member.java
@@ -5,16 +5,16 @@
 import org.damaskmoor.schema.gossip.MemberState;
 
 /**
- * One member as this node knows it.
+ * A member as known to this node.
  *
- * <p>Invariant: the record only grows in the order of {@link RecordOrder}. Confined to the thread
- * that drives the protocol.
+ * <p>Invariant: the record is only replaced by a newer one in the order of {@link RecordOrder}. Not
+ * thread-safe; used on the protocol thread.
  */
 final class Member {
     MemberRecord record;
     long changedMilliseconds;
 
-    /** Position in the list of present members of its region; -1 when absent. */
+    /** Index in the list of present members of its region; -1 when not present. */
     int position = -1;
 
     Member(MemberRecord record, long nowMilliseconds) {
@@ -34,7 +34,7 @@
         return record.getState() == MemberState.ALIVE || record.getState() == MemberState.SUSPECT;
     }
 
-    /** Built for each use: it is needed rarely, and there are thousands of members. */
+    /** Built on each call, because it is rarely needed and there are thousands of members. */
     InetSocketAddress address() {
         return new InetSocketAddress(record.getAddress(), record.getGossipPort());
     }
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/MemberTable.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/MemberTable.java
@@ -14,11 +14,11 @@
 import org.damaskmoor.schema.gossip.MemberState;
 
 /**
- * All members that this node knows, itself included, with digests over those present.
+ * All known members including this node, with digests over the present ones.
  *
  * <p>Invariants: a record is only replaced by a newer one in the order of {@link RecordOrder}; the
- * digest of a bucket is the exclusive or over its present members. Confined to the thread that
- * drives the protocol.
+ * digest of a bucket is the exclusive or over its present members. Not thread-safe; used on the
+ * protocol thread.
  */
 final class MemberTable {
     private final NavigableMap<String, Member> members = new TreeMap<>();
@@ -35,30 +35,30 @@
         return members.get(nodeId);
     }
 
-    /** Takes a record in when it is newer than the known one, and returns the former record. */
+    /** Stores a record if it is newer than the known one, and returns the previous record. */
     Change merge(MemberRecord record, long nowMilliseconds) {
         Member member = members.get(record.getNodeId());
         if (member == null) {
             member = new Member(record, nowMilliseconds);
             members.put(record.getNodeId(), member);
-            enter(member);
+            addPresent(member);
             return new Change(true, null);
         }
-        MemberRecord former = member.record;
-        if (RecordOrder.compare(record, former) <= 0) {
-            return new Change(false, former);
+        MemberRecord previous = member.record;
+        if (RecordOrder.compare(record, previous) <= 0) {
+            return new Change(false, previous);
         }
-        exit(member);
+        removePresent(member);
         member.record = record;
         member.changedMilliseconds = nowMilliseconds;
-        enter(member);
-        return new Change(true, former);
+        addPresent(member);
+        return new Change(true, previous);
     }
 
-    /** Whether a record was taken in, and what stood before (null: nothing). */
-    record Change(boolean applied, MemberRecord former) {}
+    /** Whether a record was stored, and the previous record, or null when there was none. */
+    record Change(boolean applied, MemberRecord previous) {}
 
-    private void enter(Member member) {
+    private void addPresent(Member member) {
         if (!member.isPresent()) {
             return;
         }
@@ -70,7 +70,7 @@
         present++;
     }
 
-    private void exit(Member member) {
+    private void removePresent(Member member) {
         if (!member.isPresent()) {
             return;
         }
@@ -92,7 +92,7 @@
         return presentByRegion.computeIfAbsent(region, name -> new ArrayList<>());
     }
 
-    /** Present members of a region, in no order. */
+    /** Returns the present members of a region, in no particular order. */
     List<Member> presentIn(String region) {
         return presentByRegion.getOrDefault(region, List.of());
     }
@@ -105,7 +105,7 @@
         return present;
     }
 
-    /** Puts a region's members into a fresh random order. */
+    /** Shuffles the present members of a region. */
     void shuffle(String region) {
         List<Member> list = regionList(region);
         for (int i = list.size() - 1; i > 0; i--) {
@@ -113,7 +113,10 @@
         }
     }
 
-    /** Some present member of the region other than this node; null when there is none. */
+    /**
+     * Returns a random present member of the region other than {@code except}, or null when none is
+     * found.
+     */
     Member randomIn(String region, String except) {
         List<Member> list = presentIn(region);
         for (int tries = 0; tries < 8 && !list.isEmpty(); tries++) {
@@ -125,7 +128,10 @@
         return null;
     }
 
-    /** Some dead member of the region, to find those that came back; null when there is none. */
+    /**
+     * Returns a random dead member of the region, to detect members that came back, or null when
+     * there is none.
+     */
     Member randomDead(String region) {
         List<Member> dead = new ArrayList<>();
         for (Member member : members.values()) {
@@ -137,7 +143,7 @@
         return dead.isEmpty() ? null : dead.get(random.nextInt(dead.size()));
     }
 
-    /** Forgets those that have been dead or left for too long. */
+    /** Removes the records of members that have been dead or departed for too long. */
     void dropTombstones(long olderThanMilliseconds) {
         Iterator<Member> all = members.values().iterator();
         while (all.hasNext()) {
@@ -148,15 +154,15 @@
         }
     }
 
-    /** At most so many records from a node id on, in order. */
-    List<MemberRecord> recordsFrom(String nodeId, int most) {
+    /** Returns at most {@code limit} records, in order of node id, starting at the given one. */
+    List<MemberRecord> recordsFrom(String nodeId, int limit) {
         return members.tailMap(nodeId, true).values().stream()
-                .limit(most)
+                .limit(limit)
                 .map(member -> member.record)
                 .toList();
     }
 
-    /** All records, also of the dead and the left, of the given buckets. */
+    /** Returns all records in the given buckets, including those of dead and departed members. */
     List<MemberRecord> recordsInBuckets(BitSet buckets) {
         List<MemberRecord> records = new ArrayList<>();
         for (Member member : members.values()) {
@@ -167,7 +173,7 @@
         return records;
     }
 
-    /** All records, also of the dead and the left. */
+    /** Returns all records, including those of dead and departed members. */
     List<MemberRecord> records() {
         List<MemberRecord> records = new ArrayList<>(members.size());
         members.values().forEach(member -> records.add(member.record));
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/MembershipView.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/MembershipView.java
@@ -11,19 +11,19 @@
 import org.damaskmoor.schema.gossip.MemberState;
 
 /**
- * What this node knows of the group, and the one place where a record is taken in.
+ * This node's view of the membership. All received records are merged here.
  *
- * <p>Invariants: only the node itself raises its revision; a record taken in is told onwards unless
- * the caller says otherwise. Confined to the thread that drives the protocol.
+ * <p>Invariants: only the node itself increments the revision of its record; a merged record is
+ * forwarded unless the caller asks otherwise. Not thread-safe; used on the protocol thread.
  */
 final class MembershipView {
     final MembershipSettings settings;
     final RandomGenerator random;
     final MemberTable table;
-    final Disseminator spread;
-    final MessageSender outbox;
+    final Disseminator disseminator;
+    final MessageSender messageSender;
     final LocalHealth health = new LocalHealth();
-    final SuspicionTimers suspicions;
+    final SuspicionTimers suspicionTimers;
     private final MemberListener listener;
     MemberRecord self;
     private boolean superseded;
@@ -40,9 +40,9 @@
         this.random = random;
         this.listener = listener;
         this.table = new MemberTable(random);
-        this.spread = new Disseminator(self.getRegion());
-        this.outbox = new MessageSender(this, sender, extension);
-        this.suspicions = new SuspicionTimers(this);
+        this.disseminator = new Disseminator(self.getRegion());
+        this.messageSender = new MessageSender(this, sender, extension);
+        this.suspicionTimers = new SuspicionTimers(this);
         table.merge(self, 0);
     }
 
@@ -54,11 +54,11 @@
         return self.getNodeId().equals(nodeId);
     }
 
-    /** Replaces the own record by one with the next revision and tells it onwards. */
+    /** Replaces this node's own record with one that has the next revision, and broadcasts it. */
     void updateSelf(MemberRecord.Builder changed, long nowMilliseconds) {
         self = changed.setRevision(self.getRevision() + 1).build();
         table.merge(self, nowMilliseconds);
-        spread.add(self);
+        disseminator.add(self);
     }
 
     void suspect(Member member, long nowMilliseconds) {
@@ -74,50 +74,52 @@
         mergeRecord(dead.clearSuspectedBy().build(), true, nowMilliseconds);
     }
 
-    /** Takes in what was heard of a member. */
-    void mergeRecord(MemberRecord heard, boolean tellOnwards, long nowMilliseconds) {
-        if (isSelf(heard.getNodeId())) {
-            learnOfSelf(heard, nowMilliseconds);
+    /** Merges a received record of a member. */
+    void mergeRecord(MemberRecord received, boolean forward, long nowMilliseconds) {
+        if (isSelf(received.getNodeId())) {
+            mergeOwnRecord(received, nowMilliseconds);
             return;
         }
-        MemberRecord record = complete(heard);
+        MemberRecord record = complete(received);
         if (record == null) {
             return;
         }
         MemberTable.Change change = table.merge(record, nowMilliseconds);
         if (!change.applied()) {
-            if (suspicions.confirm(record, nowMilliseconds)) {
-                spread.add(record);
+            if (suspicionTimers.confirm(record, nowMilliseconds)) {
+                disseminator.add(record);
             }
             return;
         }
-        if (tellOnwards) {
-            spread.add(record);
+        if (forward) {
+            disseminator.add(record);
         }
-        suspicions.onChange(record, nowMilliseconds);
-        Kind kind = kindOf(change.former(), record);
+        suspicionTimers.onChange(record, nowMilliseconds);
+        Kind kind = kindOf(change.previous(), record);
         if (kind != null) {
             listener.onEvent(MemberEvent.of(kind, record));
         }
     }
 
-    /** Fills in what {@link Disseminator} left out; null when nothing is known of the member. */
-    private MemberRecord complete(MemberRecord heard) {
-        if (!heard.getRegion().isEmpty()) {
-            return heard;
+    /**
+     * Fills in the fields that {@link Disseminator} omits; returns null when the member is unknown.
+     */
+    private MemberRecord complete(MemberRecord received) {
+        if (!received.getRegion().isEmpty()) {
+            return received;
         }
-        Member member = table.find(heard.getNodeId());
+        Member member = table.find(received.getNodeId());
         return member == null
                 ? null
                 : member.record.toBuilder()
-                        .setIncarnation(heard.getIncarnation())
-                        .setRevision(heard.getRevision())
-                        .setState(heard.getState())
-                        .setSuspectedBy(heard.getSuspectedBy())
+                        .setIncarnation(received.getIncarnation())
+                        .setRevision(received.getRevision())
+                        .setState(received.getState())
+                        .setSuspectedBy(received.getSuspectedBy())
                         .build();
     }
 
-    private void learnOfSelf(MemberRecord record, long nowMilliseconds) {
+    private void mergeOwnRecord(MemberRecord record, long nowMilliseconds) {
         if (record.getIncarnation() > self.getIncarnation()) {
             if (!superseded) {
                 superseded = true;
@@ -126,8 +128,8 @@
             return;
         }
         boolean newer = RecordOrder.compare(record, self) > 0;
-        if (!newer && isJudged(record)) {
-            spread.add(self);
+        if (!newer && isSuspectOrDead(record)) {
+            disseminator.add(self);
         } else if (newer && self.getState() != MemberState.LEFT) {
             self = self.toBuilder().setRevision(record.getRevision()).build();
             updateSelf(self.toBuilder(), nowMilliseconds);
@@ -135,23 +137,26 @@
         }
     }
 
-    /** Whoever still tells this missed the refutation: it is told again. */
-    private static boolean isJudged(MemberRecord record) {
+    /**
+     * Whether the record declares its member suspect or dead. A sender of such a record about this
+     * node has missed the refutation, which is then broadcast again.
+     */
+    private static boolean isSuspectOrDead(MemberRecord record) {
         return record.getState() == MemberState.SUSPECT || record.getState() == MemberState.DEAD;
     }
 
-    private static Kind kindOf(MemberRecord former, MemberRecord record) {
-        boolean wasPresent = former != null && Member.isPresent(former);
+    private static Kind kindOf(MemberRecord previous, MemberRecord record) {
+        boolean wasPresent = previous != null && Member.isPresent(previous);
         return switch (record.getState()) {
             case DEAD -> wasPresent ? Kind.DEAD : null;
             case LEFT -> wasPresent ? Kind.LEFT : null;
-            default -> kindOfPresent(former, wasPresent, record);
+            default -> kindOfPresent(previous, wasPresent, record);
         };
     }
 
     private static Kind kindOfPresent(
-            MemberRecord former, boolean wasPresent, MemberRecord record) {
-        if (!wasPresent || former.getIncarnation() != record.getIncarnation()) {
+            MemberRecord previous, boolean wasPresent, MemberRecord record) {
+        if (!wasPresent || previous.getIncarnation() != record.getIncarnation()) {
             return Kind.JOINED;
         }
         return record.getState() == MemberState.SUSPECT ? Kind.SUSPECT : Kind.CHANGED;
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/Prober.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/Prober.java
@@ -8,16 +8,16 @@
 import org.damaskmoor.schema.gossip.PingRequest;
 
 /**
- * Probes the members of the own region one after the other in random order: directly, then through
- * others; who answers neither way is suspected.
+ * SWIM failure detector: probes the members of the local region in random order, first directly,
+ * then through other members. A member that answers neither way is suspected.
  *
- * <p>Invariant: at most one probe is under way. Confined to the thread that drives the protocol.
+ * <p>Invariant: at most one probe is in progress. Not thread-safe; used on the protocol thread.
  */
 final class Prober {
     private static final long DEAD_PROBE_INTERVAL_MILLISECONDS = 10_000;
 
-    private final MembershipView group;
-    private int cursor;
+    private final MembershipView view;
+    private int nextIndex;
     private Probe probe;
     private long nextProbeMilliseconds;
     private long nextDeadProbeMilliseconds;
@@ -27,7 +27,7 @@
         final long incarnation;
         final long sequence;
         final long startedMilliseconds;
-        boolean indirect;
+        boolean indirectSent;
         int helpersAsked;
         int helpersThatAnswered;
 
@@ -39,32 +39,35 @@
         }
     }
 
-    Prober(MembershipView group, long nowMilliseconds) {
-        this.group = group;
-        long interval = group.settings.probeIntervalMilliseconds();
-        nextProbeMilliseconds = nowMilliseconds + group.random.nextLong(interval);
+    Prober(MembershipView view, long nowMilliseconds) {
+        this.view = view;
+        long interval = view.settings.probeIntervalMilliseconds();
+        nextProbeMilliseconds = nowMilliseconds + view.random.nextLong(interval);
         nextDeadProbeMilliseconds =
-                nowMilliseconds + group.random.nextLong(DEAD_PROBE_INTERVAL_MILLISECONDS);
+                nowMilliseconds + view.random.nextLong(DEAD_PROBE_INTERVAL_MILLISECONDS);
     }
 
     void tick(long nowMilliseconds) {
         probeDead(nowMilliseconds);
         if (probe != null) {
-            follow(nowMilliseconds);
+            checkProgress(nowMilliseconds);
         }
         if (probe == null && nowMilliseconds >= nextProbeMilliseconds) {
             start(nowMilliseconds);
         }
     }
 
-    /** Drops the probe under way: this node stood still, so its silence says nothing. */
+    /**
+     * Cancels the current probe after a pause of this process, because a missing answer then says
+     * nothing about the target.
+     */
     void cancelProbe() {
         probe = null;
     }
 
     private void start(long nowMilliseconds) {
-        long interval = group.settings.probeIntervalMilliseconds();
-        nextProbeMilliseconds = nowMilliseconds + group.health.scale(interval);
+        long interval = view.settings.probeIntervalMilliseconds();
+        nextProbeMilliseconds = nowMilliseconds + view.health.scale(interval);
         Member target = nextTarget();
         if (target != null) {
             probe = new Probe(target, ping(target), nowMilliseconds);
@@ -72,14 +75,14 @@
     }
 
     private Member nextTarget() {
-        List<Member> members = group.table.presentIn(group.region());
+        List<Member> members = view.table.presentIn(view.region());
         for (int tries = 0; tries < 2 && !members.isEmpty(); tries++) {
-            if (cursor >= members.size()) {
-                cursor = 0;
-                group.table.shuffle(group.region());
+            if (nextIndex >= members.size()) {
+                nextIndex = 0;
+                view.table.shuffle(view.region());
             }
-            Member target = members.get(cursor++);
-            if (!group.isSelf(target.id())) {
+            Member target = members.get(nextIndex++);
+            if (!view.isSelf(target.id())) {
                 return target;
             }
         }
@@ -88,29 +91,29 @@
 
     private long ping(Member target) {
         Ping.Builder ping = Ping.newBuilder().setTarget(target.id());
-        return group.outbox.send(target, GossipMessage.newBuilder().setPing(ping));
+        return view.messageSender.send(target, GossipMessage.newBuilder().setPing(ping));
     }
 
-    private void follow(long nowMilliseconds) {
+    private void checkProgress(long nowMilliseconds) {
         long waited = nowMilliseconds - probe.startedMilliseconds;
-        if (waited >= group.health.scale(group.settings.probeIntervalMilliseconds())) {
+        if (waited >= view.health.scale(view.settings.probeIntervalMilliseconds())) {
             fail(nowMilliseconds);
-        } else if (!probe.indirect
-                && waited >= group.health.scale(group.settings.probeTimeoutMilliseconds())) {
-            askOthers();
+        } else if (!probe.indirectSent
+                && waited >= view.health.scale(view.settings.probeTimeoutMilliseconds())) {
+            sendIndirectProbes();
         }
     }
 
-    private void askOthers() {
-        probe.indirect = true;
-        for (int i = 0; i < group.settings.indirectProbes(); i++) {
-            Member helper = group.table.randomIn(group.region(), group.self.getNodeId());
+    private void sendIndirectProbes() {
+        probe.indirectSent = true;
+        for (int i = 0; i < view.settings.indirectProbes(); i++) {
+            Member helper = view.table.randomIn(view.region(), view.self.getNodeId());
             if (helper != null && helper != probe.target) {
                 PingRequest.Builder request =
                         PingRequest.newBuilder()
                                 .setTarget(probe.target.id())
                                 .setSequence(probe.sequence);
-                group.outbox.send(helper, GossipMessage.newBuilder().setPingRequest(request));
+                view.messageSender.send(helper, GossipMessage.newBuilder().setPingRequest(request));
                 probe.helpersAsked++;
             }
         }
@@ -118,11 +121,11 @@
 
     private void fail(long nowMilliseconds) {
         int silentHelpers = Math.max(0, probe.helpersAsked - probe.helpersThatAnswered);
-        group.health.degrade(probe.helpersAsked == 0 ? 1 : silentHelpers);
+        view.health.degrade(probe.helpersAsked == 0 ? 1 : silentHelpers);
         Probe failed = probe;
         probe = null;
         if (failed.target.record.getIncarnation() == failed.incarnation) {
-            group.suspect(failed.target, nowMilliseconds);
+            view.suspect(failed.target, nowMilliseconds);
         }
     }
 
@@ -131,7 +134,7 @@
             return;
         }
         nextDeadProbeMilliseconds = nowMilliseconds + DEAD_PROBE_INTERVAL_MILLISECONDS;
-        Member dead = group.table.randomDead(group.region());
+        Member dead = view.table.randomDead(view.region());
         if (dead != null) {
             ping(dead);
         }
@@ -140,7 +143,7 @@
     void onAcknowledgement(Acknowledgement acknowledgement) {
         if (probe != null && probe.sequence == acknowledgement.getOfSequence()) {
             probe = null;
-            group.health.improve();
+            view.health.improve();
         }
     }
 
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/RecordOrder.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/RecordOrder.java
@@ -3,15 +3,19 @@
 import org.damaskmoor.schema.gossip.MemberRecord;
 
 /**
- * Which of two records of the same node is the newer one: the greater incarnation, then the greater
- * revision, then the graver state. Without state, so thread-safe.
+ * Orders records of the same node by age: the one with the greater incarnation is newer, then the
+ * greater revision, then the more severe state. Also computes the buckets and digests of records.
+ * Stateless and thread-safe.
  */
 public final class RecordOrder {
     private static final int BUCKETS = 128;
 
     private RecordOrder() {}
 
-    /** Negative when {@code left} is older than {@code right}, 0 when they say the same. */
+    /**
+     * Returns a negative number when {@code left} is older than {@code right}, and 0 when they are
+     * equally new.
+     */
     public static int compare(MemberRecord left, MemberRecord right) {
         int order = Long.compare(left.getIncarnation(), right.getIncarnation());
         if (order == 0) {
@@ -20,7 +24,7 @@
         return order != 0 ? order : Integer.compare(left.getStateValue(), right.getStateValue());
     }
 
-    /** Number of the buckets that digests are made of. */
+    /** Number of digest buckets. */
     static int buckets() {
         return BUCKETS;
     }
@@ -29,7 +33,7 @@
         return (int) (mix(nodeId.hashCode()) >>> 57);
     }
 
-    /** What a present member adds to the digest of its bucket. */
+    /** The contribution of a present member to the digest of its bucket. */
     static long digestOf(MemberRecord record) {
         long seed = mix(record.getNodeId().hashCode() ^ record.getIncarnation() * 31);
         return mix(seed + record.getRevision());
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/RegionProber.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/RegionProber.java
@@ -4,53 +4,52 @@
 import org.damaskmoor.schema.gossip.Ping;
 
 /**
- * One other region as seen by a node that bridges to it: one random member is probed each interval,
- * and the last few probes decide whether the region as a whole answers.
+ * Probes one other region from a bridge node: one random member per interval. The results of the
+ * last few probes decide whether the region is reachable.
  *
- * <p>Invariant: at most one probe is under way. Confined to the thread that drives the protocol.
+ * <p>Invariant: at most one probe is in progress. Not thread-safe; used on the protocol thread.
  */
 final class RegionProber {
-    private static final int PROBES_FOR_UNREACHABLE = 6;
-    private static final int PROBES_FOR_REACHABLE = 3;
+    private static final int FAILURES_UNTIL_UNREACHABLE = 6;
+    private static final int ANSWERS_UNTIL_REACHABLE = 3;
     private static final long PROBE_INTERVAL_MILLISECONDS = 1_000;
 
-    private final MembershipView group;
+    private final MembershipView view;
     private final String region;
     private long probeSequence = -1;
     private long nextProbeMilliseconds;
-    private int failedInRow;
-    private int answeredInRow;
+    private int consecutiveFailures;
+    private int consecutiveAnswers;
     private boolean unreachable;
 
-    RegionProber(MembershipView group, String region, long nowMilliseconds) {
-        this.group = group;
+    RegionProber(MembershipView view, String region, long nowMilliseconds) {
+        this.view = view;
         this.region = region;
-        nextProbeMilliseconds =
-                nowMilliseconds + group.random.nextLong(PROBE_INTERVAL_MILLISECONDS);
+        nextProbeMilliseconds = nowMilliseconds + view.random.nextLong(PROBE_INTERVAL_MILLISECONDS);
     }
 
     boolean isUnreachable() {
         return unreachable;
     }
 
-    /** Probes when it is time; returns whether the opinion changed. */
+    /** Sends a probe when one is due; returns whether the opinion changed. */
     boolean tick(long nowMilliseconds) {
         if (nowMilliseconds < nextProbeMilliseconds) {
             return false;
         }
         nextProbeMilliseconds = nowMilliseconds + PROBE_INTERVAL_MILLISECONDS;
         boolean changed = probeSequence >= 0 && count(false);
-        Member target = group.table.randomIn(region, "");
+        Member target = view.table.randomIn(region, "");
         probeSequence = target == null ? -1 : ping(target);
         return changed;
     }
 
     private long ping(Member target) {
         Ping.Builder ping = Ping.newBuilder().setTarget(target.id());
-        return group.outbox.send(target, GossipMessage.newBuilder().setPing(ping));
+        return view.messageSender.send(target, GossipMessage.newBuilder().setPing(ping));
     }
 
-    /** Takes in an answer; returns whether the opinion changed. */
+    /** Processes an answer; returns whether the opinion changed. */
     boolean onAcknowledgement(long ofSequence) {
         if (ofSequence != probeSequence) {
             return false;
@@ -64,18 +63,19 @@
     }
 
     /**
-     * Most members are silent when a run of random probes all fail; a single answer after that may
-     * be a straggler, a run of answers is not.
+     * Counts a probe result; returns whether the opinion changed. Consecutive failures of random
+     * probes mean that most members do not answer. A single answer after that may be a late one, so
+     * consecutive answers are required.
      */
     private boolean count(boolean answered) {
-        failedInRow = answered ? 0 : failedInRow + 1;
-        answeredInRow = answered ? answeredInRow + 1 : 0;
-        boolean former = unreachable;
-        if (failedInRow >= PROBES_FOR_UNREACHABLE) {
+        consecutiveFailures = answered ? 0 : consecutiveFailures + 1;
+        consecutiveAnswers = answered ? consecutiveAnswers + 1 : 0;
+        boolean previous = unreachable;
+        if (consecutiveFailures >= FAILURES_UNTIL_UNREACHABLE) {
             unreachable = true;
-        } else if (answeredInRow >= PROBES_FOR_REACHABLE) {
+        } else if (consecutiveAnswers >= ANSWERS_UNTIL_REACHABLE) {
             unreachable = false;
         }
-        return former != unreachable;
+        return previous != unreachable;
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/RegionReachability.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/RegionReachability.java
@@ -13,137 +13,141 @@
 import org.damaskmoor.schema.gossip.RegionOpinion;
 
 /**
- * Reachability of other regions, apart from the death of members. For each other region a few
- * members, found by hash and not elected, probe it and tell their opinion; the region is
- * unreachable when most of them say so.
+ * Detects whether other regions are reachable, independently of the failure of single members. For
+ * each other region, a few members of the local region are selected by hash as bridges; they probe
+ * the region and broadcast their opinions. The region is unreachable when a majority of its bridges
+ * say so.
  *
- * <p>Invariant: of each observer only the newest opinion counts, and only while it bridges.
- * Confined to the thread that drives the protocol.
+ * <p>Invariant: only the newest opinion of each observer counts, and only while the observer is a
+ * bridge. Not thread-safe; used on the protocol thread.
  */
 final class RegionReachability {
-    private static final long CHOICE_INTERVAL_MILLISECONDS = 2_000;
-    private static final long REPEAT_INTERVAL_MILLISECONDS = 30_000;
+    private static final long SELECTION_INTERVAL_MILLISECONDS = 2_000;
+    private static final long REBROADCAST_INTERVAL_MILLISECONDS = 30_000;
 
-    private final MembershipView group;
-    private final Map<String, RegionProber> bridged = new HashMap<>();
+    private final MembershipView view;
+    private final Map<String, RegionProber> probers = new HashMap<>();
     private final Map<String, List<Member>> bridges = new HashMap<>();
     private final Map<String, Map<String, RegionOpinion>> opinions = new HashMap<>();
     private final Set<String> unreachable = new HashSet<>();
-    private long nextChoiceMilliseconds;
-    private long nextRepeatMilliseconds;
+    private long nextSelectionMilliseconds;
+    private long nextRebroadcastMilliseconds;
 
-    RegionReachability(MembershipView group) {
-        this.group = group;
+    RegionReachability(MembershipView view) {
+        this.view = view;
     }
 
     boolean isUnreachable(String region) {
         return unreachable.contains(region);
     }
 
-    /** Regions that this node bridges to. */
+    /** Regions for which this node is a bridge. */
     Set<String> bridgedRegions() {
-        return bridged.keySet();
+        return probers.keySet();
     }
 
     void tick(long nowMilliseconds) {
-        if (nowMilliseconds >= nextChoiceMilliseconds) {
-            nextChoiceMilliseconds = nowMilliseconds + CHOICE_INTERVAL_MILLISECONDS;
-            chooseBridges(nowMilliseconds);
+        if (nowMilliseconds >= nextSelectionMilliseconds) {
+            nextSelectionMilliseconds = nowMilliseconds + SELECTION_INTERVAL_MILLISECONDS;
+            selectBridges(nowMilliseconds);
         }
-        for (Map.Entry<String, RegionProber> entry : bridged.entrySet()) {
+        for (Map.Entry<String, RegionProber> entry : probers.entrySet()) {
             if (entry.getValue().tick(nowMilliseconds)) {
-                tellOpinion(entry.getKey(), entry.getValue().isUnreachable());
+                broadcastOpinion(entry.getKey(), entry.getValue().isUnreachable());
             }
         }
-        if (nowMilliseconds >= nextRepeatMilliseconds) {
-            nextRepeatMilliseconds = nowMilliseconds + REPEAT_INTERVAL_MILLISECONDS;
-            repeatOpinions();
+        if (nowMilliseconds >= nextRebroadcastMilliseconds) {
+            nextRebroadcastMilliseconds = nowMilliseconds + REBROADCAST_INTERVAL_MILLISECONDS;
+            rebroadcastOpinions();
         }
     }
 
-    private void chooseBridges(long nowMilliseconds) {
-        for (String region : group.table.regions()) {
-            if (region.equals(group.region()) || group.table.presentIn(region).isEmpty()) {
+    private void selectBridges(long nowMilliseconds) {
+        for (String region : view.table.regions()) {
+            if (region.equals(view.region()) || view.table.presentIn(region).isEmpty()) {
                 bridges.remove(region);
-                bridged.remove(region);
+                probers.remove(region);
                 continue;
             }
-            List<Member> chosen = choose(region);
-            bridges.put(region, chosen);
-            if (chosen.stream().anyMatch(member -> group.isSelf(member.id()))) {
-                bridged.computeIfAbsent(
-                        region, name -> new RegionProber(group, name, nowMilliseconds));
+            List<Member> selected = select(region);
+            bridges.put(region, selected);
+            if (selected.stream().anyMatch(member -> view.isSelf(member.id()))) {
+                probers.computeIfAbsent(
+                        region, name -> new RegionProber(view, name, nowMilliseconds));
             } else {
-                bridged.remove(region);
+                probers.remove(region);
             }
-            judge(region);
+            evaluate(region);
         }
-        group.spread.setBridgedRegions(bridged.keySet());
+        view.disseminator.setBridgedRegions(probers.keySet());
     }
 
-    private List<Member> choose(String region) {
+    private List<Member> select(String region) {
         Comparator<Member> byHash = Comparator.comparingLong(member -> hash(member, region));
-        List<Member> chosen = new ArrayList<>();
-        for (Member member : group.table.presentIn(group.region())) {
-            chosen.add(member);
-            if (chosen.size() > group.settings.bridges()) {
-                chosen.sort(byHash);
-                chosen.remove(chosen.size() - 1);
+        List<Member> selected = new ArrayList<>();
+        for (Member member : view.table.presentIn(view.region())) {
+            selected.add(member);
+            if (selected.size() > view.settings.bridges()) {
+                selected.sort(byHash);
+                selected.remove(selected.size() - 1);
             }
         }
-        return chosen;
+        return selected;
     }
 
     private static long hash(Member member, String region) {
         return RecordOrder.mix(member.id().hashCode() * 31L + region.hashCode());
     }
 
-    /** Takes in the answer to a probe of another region. */
+    /** Processes the answer to a probe of another region. */
     void onAcknowledgement(Acknowledgement acknowledgement) {
-        for (Map.Entry<String, RegionProber> entry : bridged.entrySet()) {
+        for (Map.Entry<String, RegionProber> entry : probers.entrySet()) {
             if (entry.getValue().onAcknowledgement(acknowledgement.getOfSequence())) {
-                tellOpinion(entry.getKey(), entry.getValue().isUnreachable());
+                broadcastOpinion(entry.getKey(), entry.getValue().isUnreachable());
             }
         }
     }
 
-    /** Drops the probes under way: this node stood still, so their silence says nothing. */
+    /**
+     * Cancels the current probes after a pause of this process, because missing answers then say
+     * nothing about the regions.
+     */
     void cancelProbes() {
-        bridged.values().forEach(RegionProber::cancelProbe);
+        probers.values().forEach(RegionProber::cancelProbe);
     }
 
-    private void tellOpinion(String region, boolean isUnreachable) {
-        RegionOpinion former = opinionsOn(region).get(group.self.getNodeId());
-        int version = former == null ? 1 : former.getVersion() + 1;
+    private void broadcastOpinion(String region, boolean isUnreachable) {
+        RegionOpinion previous = opinionsOn(region).get(view.self.getNodeId());
+        int version = previous == null ? 1 : previous.getVersion() + 1;
         RegionOpinion opinion =
                 RegionOpinion.newBuilder()
                         .setRegion(region)
-                        .setObserver(group.self.getNodeId())
-                        .setObserverIncarnation(group.self.getIncarnation())
+                        .setObserver(view.self.getNodeId())
+                        .setObserverIncarnation(view.self.getIncarnation())
                         .setVersion(version)
                         .setUnreachable(isUnreachable)
                         .build();
         mergeOpinion(opinion);
     }
 
-    private void repeatOpinions() {
-        for (String region : bridged.keySet()) {
-            RegionOpinion own = opinionsOn(region).get(group.self.getNodeId());
+    private void rebroadcastOpinions() {
+        for (String region : probers.keySet()) {
+            RegionOpinion own = opinionsOn(region).get(view.self.getNodeId());
             if (own != null) {
-                group.spread.add(own);
+                view.disseminator.add(own);
             }
         }
     }
 
-    /** Takes in an opinion, also from this node itself, and tells it onwards when it is new. */
+    /** Merges an opinion, which may be this node's own, and broadcasts it when it is new. */
     void mergeOpinion(RegionOpinion opinion) {
         RegionOpinion known = opinionsOn(opinion.getRegion()).get(opinion.getObserver());
         if (known != null && !isNewer(opinion, known)) {
             return;
         }
         opinionsOn(opinion.getRegion()).put(opinion.getObserver(), opinion);
-        group.spread.add(opinion);
-        judge(opinion.getRegion());
+        view.disseminator.add(opinion);
+        evaluate(opinion.getRegion());
     }
 
     private static boolean isNewer(RegionOpinion opinion, RegionOpinion known) {
@@ -155,14 +159,15 @@
         return opinions.computeIfAbsent(region, name -> new HashMap<>());
     }
 
-    private void judge(String region) {
+    private void evaluate(String region) {
         List<Member> observers = bridges.getOrDefault(region, List.of());
-        long against = observers.stream().filter(each -> saysUnreachable(each, region)).count();
-        boolean verdict = against * 2 > observers.size();
-        if (verdict && unreachable.add(region)) {
-            group.publish(MemberEvent.ofRegion(Kind.REGION_UNREACHABLE, region));
-        } else if (!verdict && unreachable.remove(region)) {
-            group.publish(MemberEvent.ofRegion(Kind.REGION_REACHABLE, region));
+        long unreachableVotes =
+                observers.stream().filter(each -> saysUnreachable(each, region)).count();
+        boolean majority = unreachableVotes * 2 > observers.size();
+        if (majority && unreachable.add(region)) {
+            view.publish(MemberEvent.ofRegion(Kind.REGION_UNREACHABLE, region));
+        } else if (!majority && unreachable.remove(region)) {
+            view.publish(MemberEvent.ofRegion(Kind.REGION_REACHABLE, region));
         }
     }
 
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/SuspicionTimers.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/SuspicionTimers.java
@@ -10,89 +10,89 @@
 import org.damaskmoor.schema.gossip.MemberState;
 
 /**
- * Suspected members of the own region and the time they have left to refute. The wait shortens with
- * each independent suspicion (Lifeguard). Members of other regions are judged by their own region.
+ * Timeouts of suspected members of the local region, after which they are declared dead. Each
+ * independent suspicion shortens the timeout (Lifeguard). Members of other regions are declared
+ * dead by their own region.
  *
- * <p>Invariant: only members that stand as suspect have an entry. Confined to the thread that
- * drives the protocol.
+ * <p>Invariant: only suspect members have a timer. Not thread-safe; used on the protocol thread.
  */
 final class SuspicionTimers {
-    private static final int CONFIRMATIONS_FOR_SHORTEST_WAIT = 3;
+    private static final int CONFIRMATIONS_FOR_MIN_TIMEOUT = 3;
 
-    private final MembershipView group;
-    private final Map<String, Suspicion> suspicions = new HashMap<>();
+    private final MembershipView view;
+    private final Map<String, Timer> timers = new HashMap<>();
 
-    private static final class Suspicion {
+    private static final class Timer {
         final Set<String> suspecters = new HashSet<>();
         long startedMilliseconds;
 
-        Suspicion(String suspecter, long nowMilliseconds) {
+        Timer(String suspecter, long nowMilliseconds) {
             suspecters.add(suspecter);
             startedMilliseconds = nowMilliseconds;
         }
     }
 
-    SuspicionTimers(MembershipView group) {
-        this.group = group;
+    SuspicionTimers(MembershipView view) {
+        this.view = view;
     }
 
     void onChange(MemberRecord record, long nowMilliseconds) {
-        boolean judgedHere = record.getRegion().equals(group.region());
-        if (judgedHere && record.getState() == MemberState.SUSPECT) {
-            suspicions.put(
-                    record.getNodeId(), new Suspicion(record.getSuspectedBy(), nowMilliseconds));
+        boolean inLocalRegion = record.getRegion().equals(view.region());
+        if (inLocalRegion && record.getState() == MemberState.SUSPECT) {
+            timers.put(record.getNodeId(), new Timer(record.getSuspectedBy(), nowMilliseconds));
         } else {
-            suspicions.remove(record.getNodeId());
+            timers.remove(record.getNodeId());
         }
     }
 
-    /** Counts an independent suspicion; returns whether it is worth telling onwards. */
+    /** Counts an independent suspicion; returns whether to forward it. */
     boolean confirm(MemberRecord record, long nowMilliseconds) {
-        Suspicion suspicion = suspicions.get(record.getNodeId());
-        if (suspicion == null || record.getState() != MemberState.SUSPECT) {
+        Timer timer = timers.get(record.getNodeId());
+        if (timer == null || record.getState() != MemberState.SUSPECT) {
             return false;
         }
-        MemberRecord known = group.table.find(record.getNodeId()).record;
+        MemberRecord known = view.table.find(record.getNodeId()).record;
         if (RecordOrder.compare(record, known) != 0) {
             return false;
         }
-        return suspicion.suspecters.size() <= CONFIRMATIONS_FOR_SHORTEST_WAIT
-                && suspicion.suspecters.add(record.getSuspectedBy());
+        return timer.suspecters.size() <= CONFIRMATIONS_FOR_MIN_TIMEOUT
+                && timer.suspecters.add(record.getSuspectedBy());
     }
 
     void tick(long nowMilliseconds) {
-        if (suspicions.isEmpty()) {
+        if (timers.isEmpty()) {
             return;
         }
         List<Member> expired = new ArrayList<>();
-        for (Map.Entry<String, Suspicion> entry : suspicions.entrySet()) {
-            long deadline = entry.getValue().startedMilliseconds + wait(entry.getValue());
+        for (Map.Entry<String, Timer> entry : timers.entrySet()) {
+            long deadline =
+                    entry.getValue().startedMilliseconds + timeoutMilliseconds(entry.getValue());
             if (nowMilliseconds >= deadline) {
-                expired.add(group.table.find(entry.getKey()));
+                expired.add(view.table.find(entry.getKey()));
             }
         }
-        expired.forEach(member -> group.declareDead(member, nowMilliseconds));
+        expired.forEach(member -> view.declareDead(member, nowMilliseconds));
     }
 
-    /** A time in which this node stood still does not count against others. */
+    /** Extends all timeouts by a time in which this process was paused. */
     void extend(long milliseconds) {
-        suspicions.values().forEach(each -> each.startedMilliseconds += milliseconds);
+        timers.values().forEach(each -> each.startedMilliseconds += milliseconds);
     }
 
-    private long wait(Suspicion suspicion) {
-        int members = group.table.presentIn(group.region()).size();
+    private long timeoutMilliseconds(Timer timer) {
+        int members = view.table.presentIn(view.region()).size();
         double decades = Math.max(1, Math.log10(members));
-        double shortest =
-                group.settings.suspicionMultiplier()
+        double minTimeout =
+                view.settings.suspicionMultiplier()
                         * decades
-                        * group.settings.probeIntervalMilliseconds();
-        int helpful = Math.min(CONFIRMATIONS_FOR_SHORTEST_WAIT, members - 3);
-        if (helpful < 1) {
-            return (long) shortest;
+                        * view.settings.probeIntervalMilliseconds();
+        int maxConfirmations = Math.min(CONFIRMATIONS_FOR_MIN_TIMEOUT, members - 3);
+        if (maxConfirmations < 1) {
+            return (long) minTimeout;
         }
-        double longest = shortest * group.settings.suspicionStretch();
-        int confirmations = Math.min(helpful, suspicion.suspecters.size() - 1);
-        double share = Math.log(confirmations + 1.0) / Math.log(helpful + 1.0);
-        return (long) (longest - (longest - shortest) * share);
+        double maxTimeout = minTimeout * view.settings.suspicionStretch();
+        int confirmations = Math.min(maxConfirmations, timer.suspecters.size() - 1);
+        double share = Math.log(confirmations + 1.0) / Math.log(maxConfirmations + 1.0);
+        return (long) (maxTimeout - (maxTimeout - minTimeout) * share);
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/SwimProtocol.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/SwimProtocol.java
@@ -20,21 +20,22 @@
 import org.damaskmoor.schema.mesh.UpstreamState;
 
 /**
- * Joins the parts of the membership protocol and hands each message to the part it is for.
+ * Implements the membership protocol: combines its components and dispatches received messages to
+ * them.
  *
- * <p>Invariant: a message of a process that is not the newest start of its node changes nothing.
- * Confined to the thread that drives the protocol.
+ * <p>Invariant: a message from an earlier incarnation of a node changes nothing. Not thread-safe;
+ * used on the protocol thread.
  */
 public final class SwimProtocol {
-    private static final long STANDSTILL_MILLISECONDS = 1_000;
+    private static final long PAUSE_THRESHOLD_MILLISECONDS = 1_000;
     private static final long TOMBSTONE_CHECK_MILLISECONDS = 60_000;
     private static final int VERSIONS_PER_DATAGRAM = 12;
 
-    private final MembershipView group;
+    private final MembershipView view;
     private final GossipExtension extension;
     private final Prober prober;
-    private final IndirectProbes relays;
-    private final RegionReachability regions;
+    private final IndirectProbes indirectProbes;
+    private final RegionReachability regionReachability;
     private final AntiEntropy antiEntropy;
     private final Joiner joiner;
     private long lastTickMilliseconds;
@@ -50,13 +51,13 @@
             RandomGenerator random,
             long nowMilliseconds) {
         MemberRecord alive = self.toBuilder().setState(MemberState.ALIVE).build();
-        this.group = new MembershipView(alive, settings, sender, listener, extension, random);
+        this.view = new MembershipView(alive, settings, sender, listener, extension, random);
         this.extension = extension;
-        this.prober = new Prober(group, nowMilliseconds);
-        this.relays = new IndirectProbes(group);
-        this.regions = new RegionReachability(group);
-        this.antiEntropy = new AntiEntropy(group, regions);
-        this.joiner = new Joiner(group, antiEntropy);
+        this.prober = new Prober(view, nowMilliseconds);
+        this.indirectProbes = new IndirectProbes(view);
+        this.regionReachability = new RegionReachability(view);
+        this.antiEntropy = new AntiEntropy(view, regionReachability);
+        this.joiner = new Joiner(view, antiEntropy);
         this.lastTickMilliseconds = nowMilliseconds;
     }
 
@@ -72,94 +73,94 @@
 
     /** See {@code MembershipProtocol}. */
     public void tick(long nowMilliseconds) {
-        long stoodStill = nowMilliseconds - lastTickMilliseconds;
+        long sinceLastTick = nowMilliseconds - lastTickMilliseconds;
         lastTickMilliseconds = nowMilliseconds;
-        if (stoodStill > STANDSTILL_MILLISECONDS) {
-            onStandstill(stoodStill);
+        if (sinceLastTick > PAUSE_THRESHOLD_MILLISECONDS) {
+            onPause(sinceLastTick);
         }
         joiner.tick(nowMilliseconds);
-        relays.tick(nowMilliseconds);
+        indirectProbes.tick(nowMilliseconds);
         prober.tick(nowMilliseconds);
-        group.suspicions.tick(nowMilliseconds);
-        regions.tick(nowMilliseconds);
+        view.suspicionTimers.tick(nowMilliseconds);
+        regionReachability.tick(nowMilliseconds);
         antiEntropy.tick(nowMilliseconds);
         gossip(nowMilliseconds);
         dropTombstones(nowMilliseconds);
     }
 
-    /** Nobody is blamed for a time in which this process did not run. */
-    private void onStandstill(long milliseconds) {
+    /** Excludes the time in which this process was paused from all timeouts. */
+    private void onPause(long milliseconds) {
         prober.cancelProbe();
-        regions.cancelProbes();
-        group.suspicions.extend(milliseconds);
-        antiEntropy.scheduleExchange(group.region());
+        regionReachability.cancelProbes();
+        view.suspicionTimers.extend(milliseconds);
+        antiEntropy.scheduleExchange(view.region());
     }
 
     private void gossip(long nowMilliseconds) {
         if (nowMilliseconds < nextGossipMilliseconds) {
             return;
         }
-        nextGossipMilliseconds = nowMilliseconds + group.settings.gossipIntervalMilliseconds();
-        for (int i = 0; i < group.settings.gossipFanout(); i++) {
-            gossipTo(group.region());
+        nextGossipMilliseconds = nowMilliseconds + view.settings.gossipIntervalMilliseconds();
+        for (int i = 0; i < view.settings.gossipFanout(); i++) {
+            gossipTo(view.region());
         }
-        regions.bridgedRegions().forEach(this::gossipTo);
+        regionReachability.bridgedRegions().forEach(this::gossipTo);
     }
 
     private void gossipTo(String region) {
-        if (!group.spread.hasUpdatesFor(region)) {
+        if (!view.disseminator.hasUpdatesFor(region)) {
             return;
         }
-        Member member = group.table.randomIn(region, group.self.getNodeId());
+        Member member = view.table.randomIn(region, view.self.getNodeId());
         if (member != null) {
-            group.outbox.send(member, GossipMessage.newBuilder());
+            view.messageSender.send(member, GossipMessage.newBuilder());
         }
     }
 
     private void dropTombstones(long nowMilliseconds) {
         if (nowMilliseconds >= nextTombstoneCheckMilliseconds) {
             nextTombstoneCheckMilliseconds = nowMilliseconds + TOMBSTONE_CHECK_MILLISECONDS;
-            long oldest = nowMilliseconds - group.settings.tombstoneMilliseconds();
-            group.table.dropTombstones(oldest);
+            long oldest = nowMilliseconds - view.settings.tombstoneMilliseconds();
+            view.table.dropTombstones(oldest);
         }
     }
 
     /** See {@code MembershipProtocol}. */
     public void receive(GossipMessage message, InetSocketAddress from, long nowMilliseconds) {
-        if (message.getSender().isEmpty() || group.isSelf(message.getSender())) {
+        if (message.getSender().isEmpty() || view.isSelf(message.getSender())) {
             return;
         }
-        Member sender = group.table.find(message.getSender());
+        Member sender = view.table.find(message.getSender());
         if (sender != null && message.getSenderIncarnation() < sender.record.getIncarnation()) {
-            group.outbox.sendWithoutPiggyback(
+            view.messageSender.sendWithoutPiggyback(
                     from, GossipMessage.newBuilder().addNews(sender.record));
             return;
         }
-        takeNews(message, sender, nowMilliseconds);
-        takeBody(message, from, sender, nowMilliseconds);
+        mergeUpdates(message, sender, nowMilliseconds);
+        dispatchBody(message, from, sender, nowMilliseconds);
         if (sender == null && message.hasPing()) {
             joiner.joinThrough(from, nowMilliseconds);
         }
     }
 
-    private void takeNews(GossipMessage message, Member sender, long nowMilliseconds) {
+    private void mergeUpdates(GossipMessage message, Member sender, long nowMilliseconds) {
         for (MemberRecord record : message.getNewsList()) {
-            learn(record, true, nowMilliseconds);
+            mergeIfComplete(record, true, nowMilliseconds);
         }
         for (RegionOpinion opinion : message.getRegionNewsList()) {
-            boolean wasUnreachable = regions.isUnreachable(opinion.getRegion());
-            regions.mergeOpinion(opinion);
-            exchangeAfterReturn(opinion.getRegion(), wasUnreachable);
+            boolean wasUnreachable = regionReachability.isUnreachable(opinion.getRegion());
+            regionReachability.mergeOpinion(opinion);
+            scheduleExchangeIfReachableAgain(opinion.getRegion(), wasUnreachable);
         }
         NodeId from = new NodeId(message.getSender());
         for (ConfigurationVersion version : message.getConfigurationNewsList()) {
             if (extension.onConfigurationVersion(from, version)) {
-                group.spread.add(version);
+                view.disseminator.add(version);
             }
         }
         for (QuarantineRecord record : message.getQuarantineNewsList()) {
             if (extension.onQuarantine(record)) {
-                group.spread.add(record);
+                view.disseminator.add(record);
             }
         }
         if (sender != null) {
@@ -168,26 +169,27 @@
         }
     }
 
-    private void learn(MemberRecord record, boolean tellOnwards, long nowMilliseconds) {
-        boolean judged =
+    private void mergeIfComplete(MemberRecord record, boolean forward, long nowMilliseconds) {
+        boolean suspectOrDead =
                 record.getState() == MemberState.SUSPECT || record.getState() == MemberState.DEAD;
         boolean complete =
                 !record.getNodeId().isEmpty()
                         && record.getIncarnation() > 0
-                        && (judged || !record.getRegion().isEmpty())
+                        && (suspectOrDead || !record.getRegion().isEmpty())
                         && record.getStateValue() >= MemberState.ALIVE_VALUE
                         && record.getStateValue() <= MemberState.LEFT_VALUE;
         if (complete) {
-            group.mergeRecord(record, tellOnwards, nowMilliseconds);
+            view.mergeRecord(record, forward, nowMilliseconds);
         }
     }
 
-    private void takeBody(
+    private void dispatchBody(
             GossipMessage message, InetSocketAddress from, Member sender, long nowMilliseconds) {
         switch (message.getBodyCase()) {
             case PING -> onPing(message.getPing(), message.getSequence(), from, sender);
             case PING_REQUEST ->
-                    relays.onRequest(message.getPingRequest(), from, sender, nowMilliseconds);
+                    indirectProbes.onRequest(
+                            message.getPingRequest(), from, sender, nowMilliseconds);
             case ACKNOWLEDGEMENT -> onAcknowledgement(message.getAcknowledgement());
             case NEGATIVE_ACKNOWLEDGEMENT ->
                     prober.onNegativeAcknowledgement(message.getNegativeAcknowledgement());
@@ -198,10 +200,10 @@
             }
             case MEMBER_PAGE -> {
                 boolean fromOtherRegion =
-                        sender != null && !sender.record.getRegion().equals(group.region());
-                boolean tell = fromOtherRegion && !message.getMemberPage().getJoining();
+                        sender != null && !sender.record.getRegion().equals(view.region());
+                boolean forward = fromOtherRegion && !message.getMemberPage().getJoining();
                 for (MemberRecord record : message.getMemberPage().getMembersList()) {
-                    learn(record, tell, nowMilliseconds);
+                    mergeIfComplete(record, forward, nowMilliseconds);
                 }
                 joiner.onPage(message.getMemberPage(), nowMilliseconds);
             }
@@ -209,43 +211,44 @@
                     antiEntropy.onDigests(
                             message.getMemberDigests(), from, sender, nowMilliseconds);
             default -> {
-                // Only news, which is taken in by now.
+                // The message carries only updates, which have been merged already.
             }
         }
     }
 
     private void onPing(Ping ping, long sequence, InetSocketAddress from, Member sender) {
-        if (!group.isSelf(ping.getTarget())) {
+        if (!view.isSelf(ping.getTarget())) {
             return;
         }
         Acknowledgement.Builder answer =
                 Acknowledgement.newBuilder().setTarget(ping.getTarget()).setOfSequence(sequence);
-        group.outbox.send(from, sender, GossipMessage.newBuilder().setAcknowledgement(answer));
+        view.messageSender.send(
+                from, sender, GossipMessage.newBuilder().setAcknowledgement(answer));
     }
 
     private void onAcknowledgement(Acknowledgement acknowledgement) {
         prober.onAcknowledgement(acknowledgement);
-        relays.onAcknowledgement(acknowledgement);
-        for (String region : List.copyOf(regions.bridgedRegions())) {
-            boolean wasUnreachable = regions.isUnreachable(region);
-            regions.onAcknowledgement(acknowledgement);
-            exchangeAfterReturn(region, wasUnreachable);
+        indirectProbes.onAcknowledgement(acknowledgement);
+        for (String region : List.copyOf(regionReachability.bridgedRegions())) {
+            boolean wasUnreachable = regionReachability.isUnreachable(region);
+            regionReachability.onAcknowledgement(acknowledgement);
+            scheduleExchangeIfReachableAgain(region, wasUnreachable);
         }
     }
 
-    private void exchangeAfterReturn(String region, boolean wasUnreachable) {
-        if (wasUnreachable && !regions.isUnreachable(region)) {
+    private void scheduleExchangeIfReachableAgain(String region, boolean wasUnreachable) {
+        if (wasUnreachable && !regionReachability.isUnreachable(region)) {
             antiEntropy.scheduleExchange(region);
         }
     }
 
     /** See {@code MembershipProtocol}. */
     public void announceUpstream(UpstreamState state, int capacity, long nowMilliseconds) {
-        MemberRecord self = group.self;
+        MemberRecord self = view.self;
         boolean same =
                 self.getUpstreamState() == state.getNumber() && self.getCapacity() == capacity;
         if (!same && self.getState() == MemberState.ALIVE) {
-            group.updateSelf(
+            view.updateSelf(
                     self.toBuilder().setUpstreamState(state.getNumber()).setCapacity(capacity),
                     nowMilliseconds);
         }
@@ -253,33 +256,33 @@
 
     /** See {@code MembershipProtocol}. */
     public void announceService(String service, long nowMilliseconds) {
-        MemberRecord self = group.self;
+        MemberRecord self = view.self;
         boolean same = self.getService().equals(service);
         if (!same && self.getState() == MemberState.ALIVE) {
-            group.updateSelf(self.toBuilder().setService(service), nowMilliseconds);
+            view.updateSelf(self.toBuilder().setService(service), nowMilliseconds);
         }
     }
 
     /** See {@code MembershipProtocol}. */
     public void leave(long nowMilliseconds) {
-        if (group.self.getState() != MemberState.LEFT) {
-            group.updateSelf(group.self.toBuilder().setState(MemberState.LEFT), nowMilliseconds);
+        if (view.self.getState() != MemberState.LEFT) {
+            view.updateSelf(view.self.toBuilder().setState(MemberState.LEFT), nowMilliseconds);
         }
     }
 
     /** See {@code MembershipProtocol}. */
     public void broadcast(ConfigurationVersion version) {
-        group.spread.add(version);
+        view.disseminator.add(version);
     }
 
     /** See {@code MembershipProtocol}. */
     public void broadcast(QuarantineRecord record) {
-        group.spread.add(record);
+        view.disseminator.add(record);
     }
 
     /** See {@code MembershipProtocol}. */
     public void sendVersions(String memberId, List<ConfigurationVersion> versions) {
-        Member member = group.table.find(memberId);
+        Member member = view.table.find(memberId);
         if (member == null) {
             return;
         }
@@ -287,32 +290,32 @@
             int end = Math.min(versions.size(), start + VERSIONS_PER_DATAGRAM);
             GossipMessage.Builder message = GossipMessage.newBuilder();
             message.addAllConfigurationNews(versions.subList(start, end));
-            group.outbox.sendWithoutPiggyback(member.address(), message);
+            view.messageSender.sendWithoutPiggyback(member.address(), message);
         }
     }
 
     /** See {@code MembershipProtocol}. */
     public MemberRecord self() {
-        return group.self;
+        return view.self;
     }
 
     /** See {@code MembershipProtocol}. */
     public List<MemberRecord> members() {
-        return group.table.records();
+        return view.table.records();
     }
 
     /** See {@code MembershipProtocol}. */
     public Optional<MemberRecord> member(String id) {
-        return Optional.ofNullable(group.table.find(id)).map(member -> member.record);
+        return Optional.ofNullable(view.table.find(id)).map(member -> member.record);
     }
 
     /** See {@code MembershipProtocol}. */
     public boolean isUnreachable(String region) {
-        return regions.isUnreachable(region);
+        return regionReachability.isUnreachable(region);
     }
 
     /** See {@code MembershipProtocol}. */
     public int localHealthScore() {
-        return group.health.score();
+        return view.health.score();
     }
 }
--- a/core/src/test/java/org/damaskmoor/core/membership/FakeGroup.java
+++ b/core/src/test/java/org/damaskmoor/core/membership/FakeGroup.java
@@ -17,14 +17,17 @@
 import org.damaskmoor.schema.gossip.MemberState;
 import org.damaskmoor.schema.gossip.QuarantineRecord;
 
-/** Members in one process, with virtual time and a network that loses, doubles and reorders. */
+/**
+ * Simulates members in one process with virtual time, over a network that loses, duplicates and
+ * reorders datagrams.
+ */
 final class FakeGroup {
     final Map<String, FakeMember> members = new LinkedHashMap<>();
     final Random random;
     double lossShare;
-    double doubledShare;
+    double duplicateShare;
     long jitterMilliseconds;
-    BiPredicate<FakeMember, FakeMember> cut = (from, to) -> false;
+    BiPredicate<FakeMember, FakeMember> partition = (from, to) -> false;
     long now = 1_000_000;
     int longestDatagram;
     private final PriorityQueue<Delivery> deliveries =
@@ -39,7 +42,7 @@
         random = new Random(seed);
     }
 
-    /** One node, its protocol and what it heard. */
+    /** A node with its protocol and the events that it received. */
     final class FakeMember implements GossipExtension {
         final List<MemberEvent> events = new ArrayList<>();
         final Map<String, Long> versions = new LinkedHashMap<>();
@@ -78,16 +81,16 @@
         @Override
         public boolean onConfigurationVersion(NodeId from, ConfigurationVersion version) {
             Long known = versions.get(version.getService());
-            boolean news = known == null || known < version.getVersion();
-            if (news) {
+            boolean isNew = known == null || known < version.getVersion();
+            if (isNew) {
                 versions.put(version.getService(), version.getVersion());
             }
-            return news;
+            return isNew;
         }
 
         @Override
         public void onConfigurationDigest(NodeId from, long digest, long nowMilliseconds) {
-            // These tests look at members.
+            // The tests check members only.
         }
 
         @Override
@@ -108,7 +111,7 @@
         return member;
     }
 
-    /** A node that found no first peer, because the table service is down. */
+    /** Adds a node that has no join point, because the table service is down. */
     FakeMember addWithoutJoinPoints(String id, String region, long incarnation) {
         int port = 10_000 + Math.abs(id.hashCode() % 50_000);
         MemberRecord record =
@@ -145,7 +148,7 @@
 
     private void send(FakeMember from, InetSocketAddress to, GossipMessage message) {
         longestDatagram = Math.max(longestDatagram, message.getSerializedSize());
-        int copies = random.nextDouble() < doubledShare ? 2 : 1;
+        int copies = random.nextDouble() < duplicateShare ? 2 : 1;
         for (int i = 0; i < copies; i++) {
             if (random.nextDouble() >= lossShare) {
                 long delay =
@@ -175,7 +178,7 @@
     private void deliver(Delivery delivery) {
         for (FakeMember member : List.copyOf(members.values())) {
             boolean addressed = member.record.getGossipPort() == delivery.to.getPort();
-            if (addressed && !member.frozen && !cut.test(delivery.from, member)) {
+            if (addressed && !member.frozen && !partition.test(delivery.from, member)) {
                 member.protocol.receive(delivery.message, addressOf(delivery.from), now);
             }
         }
--- a/core/src/test/java/org/damaskmoor/core/membership/MembershipProtocolTest.java
+++ b/core/src/test/java/org/damaskmoor/core/membership/MembershipProtocolTest.java
@@ -25,10 +25,10 @@
         group.addRegion("mittelland", 7);
         group.addRegion("oberland", 5);
         group.run(10 * SECOND);
-        assertEveryoneSeesEveryone(group);
+        assertAllMembersSeeEachOther(group);
     }
 
-    private static void assertEveryoneSeesEveryone(FakeGroup group) {
+    private static void assertAllMembersSeeEachOther(FakeGroup group) {
         for (FakeMember member : group.members.values()) {
             for (String id : group.members.keySet()) {
                 assertWithMessage("%s of %s", id, member.record.getNodeId())
@@ -39,12 +39,12 @@
     }
 
     @Property(tries = 12, seed = "41")
-    void should_keep_all_members_alive_when_datagrams_are_lost_doubled_and_reordered(
+    void should_keep_all_members_alive_when_datagrams_are_lost_duplicated_and_reordered(
             @ForAll @IntRange(min = 1, max = 1_000) int seed) {
         // given
         FakeGroup lossy = new FakeGroup(seed);
         lossy.lossShare = 0.1;
-        lossy.doubledShare = 0.1;
+        lossy.duplicateShare = 0.1;
         lossy.jitterMilliseconds = 80;
 
         // when
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void should_take_a_frozen_member_back_when_it_refutes_its_death() {
+    void should_readmit_a_frozen_member_when_it_refutes_its_death() {
         // given
         givenTwoRegions();
         FakeMember frozen = group.get("oberland-2");
@@ -93,12 +93,12 @@
         group.run(20 * SECOND);
 
         // then
-        assertEveryoneSeesEveryone(group);
+        assertAllMembersSeeEachOther(group);
         assertThat(frozen.count(Kind.DEAD)).isEqualTo(0);
     }
 
     @Test
-    void should_ignore_an_older_start_for_good_when_the_node_restarted() {
+    void should_permanently_ignore_an_older_incarnation_when_the_node_restarted() {
         // given
         givenTwoRegions();
         FakeMember older = group.get("oberland-2");
@@ -106,7 +106,7 @@
 
         // when
         FakeMember newer = group.add("oberland-2", "oberland", 2);
-        group.members.put("older start", older);
+        group.members.put("older incarnation", older);
         group.run(5 * SECOND);
         older.frozen = false;
         older.protocol.announceUpstream(UpstreamState.SERVING, 99, group.now);
@@ -115,7 +115,7 @@
         // then
         assertThat(older.count(Kind.SUPERSEDED)).isEqualTo(1);
         for (String id : group.members.keySet()) {
-            if (!id.equals("older start")) {
+            if (!id.equals("older incarnation")) {
                 long incarnation = incarnationAt(group.get(id));
                 assertThat(incarnation).isEqualTo(newer.record.getIncarnation());
             }
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void should_join_through_a_peer_that_looks_for_its_former_start_when_no_join_point_is_known() {
+    void should_join_through_a_peer_that_pings_its_earlier_incarnation_without_join_points() {
         // given
         givenTwoRegions();
         group.members.remove("oberland-2");
@@ -135,7 +135,7 @@
 
         // then
         assertThat(fresh.protocol.isJoined()).isTrue();
-        assertEveryoneSeesEveryone(group);
+        assertAllMembersSeeEachOther(group);
     }
 
     private static long incarnationAt(FakeMember observer) {
@@ -147,14 +147,14 @@
     }
 
     @Test
-    void should_kill_nobody_and_rejoin_quickly_when_a_region_is_cut_for_an_hour() {
+    void should_declare_nobody_dead_and_reconnect_quickly_after_an_hour_of_partition() {
         // given
         givenTwoRegions();
         ConfigurationVersion version =
                 ConfigurationVersion.newBuilder().setService("besuch").setVersion(3).build();
 
         // when
-        group.cut = (from, to) -> !from.record.getRegion().equals(to.record.getRegion());
+        group.partition = (from, to) -> !from.record.getRegion().equals(to.record.getRegion());
         group.run(30 * SECOND);
 
         // then
@@ -167,13 +167,13 @@
         group.run(HOUR);
         group.get("mittelland-3").protocol.announceUpstream(UpstreamState.LEAVING, 10, group.now);
         group.run(20 * SECOND);
-        group.cut = (from, to) -> false;
+        group.partition = (from, to) -> false;
         group.run(20 * SECOND);
         group.get("mittelland-3").protocol.broadcast(version);
         group.run(2 * SECOND);
 
         // then
-        assertEveryoneSeesEveryone(group);
+        assertAllMembersSeeEachOther(group);
         for (FakeMember member : group.members.values()) {
             assertThat(member.count(Kind.DEAD)).isEqualTo(0);
             assertThat(member.protocol.isUnreachable(OBERLAND)).isFalse();
@@ -190,28 +190,28 @@
     }
 
     @Test
-    void should_find_together_again_when_a_data_centre_was_cut_within_its_region() {
+    void should_merge_again_after_a_partition_within_a_region() {
         // given
         group.addRegion("mittelland", 8);
         group.run(10 * SECOND);
-        group.cut = (from, to) -> half(from) != half(to);
+        group.partition = (from, to) -> isInFirstHalf(from) != isInFirstHalf(to);
         group.run(120 * SECOND);
         assertThat(group.get("mittelland-0").stateOf("mittelland-7")).isEqualTo(MemberState.DEAD);
 
         // when
-        group.cut = (from, to) -> false;
+        group.partition = (from, to) -> false;
         group.run(60 * SECOND);
 
         // then
-        assertEveryoneSeesEveryone(group);
+        assertAllMembersSeeEachOther(group);
     }
 
-    private static boolean half(FakeMember member) {
+    private static boolean isInFirstHalf(FakeMember member) {
         return member.record.getNodeId().compareTo("mittelland-4") < 0;
     }
 
     @Test
-    void should_tell_every_member_within_two_seconds_when_an_upstream_is_leaving() {
+    void should_inform_every_member_within_two_seconds_when_an_upstream_is_leaving() {
         // given
         givenTwoRegions();
 
@@ -226,7 +226,7 @@
     }
 
     @Test
-    void should_not_suspect_the_member_that_left_when_it_falls_silent() {
+    void should_not_suspect_a_departed_member_when_it_stops_answering() {
         // given
         givenTwoRegions();
         FakeMember leaving = group.get("mittelland-4");
@@ -245,7 +245,7 @@
     }
 
     @Test
-    void should_go_on_without_a_fault_when_all_members_have_left() {
+    void should_continue_without_errors_when_all_members_have_left() {
         // given
         group.addRegion("mittelland", 3);
         group.run(10 * SECOND);
@@ -259,7 +259,7 @@
     }
 
     @Test
-    void should_tell_a_joining_member_everything_when_the_first_peer_is_silent() {
+    void should_send_all_members_to_a_joining_one_when_the_first_peer_is_silent() {
         // given
         givenTwoRegions();
         group.get("mittelland-0").frozen = true;
