--- a/core/src/main/java/org/damaskmoor/core/election/ReaderElection.java
+++ b/core/src/main/java/org/damaskmoor/core/election/ReaderElection.java
@@ -7,71 +7,86 @@
 import org.damaskmoor.core.id.NodeId;
 
 /**
- * Elects the node of a data centre that asks the platform's store on behalf of the others.
+ * Elects the node of a data centre that reads from the platform's store on behalf of the others.
  *
- * <p>Answers a load that grows with the fleet: when each node waits for changes of members by
- * itself, each change costs one call to the store for every node.
+ * <p>A single reader keeps the load on the store independent of the fleet's size: if each node
+ * watched for membership changes itself, each change would cost one call to the store per node.
  *
- * <p>The first node in the order of their hashes reads and sends a sign at intervals. When no sign
- * of a node before it has come for a while, the next one takes over; later ones wait longer, so
- * that few take over at once. Two readers at a time do no harm.
+ * <p>The node with the lowest hash is the reader and sends periodic heartbeats. A node takes over
+ * when it has received no heartbeat from any node ranked before it for a timeout that grows with
+ * its rank, so that few nodes take over at once. Two concurrent readers are harmless.
  *
- * <p>Not thread-safe. Invariant: a node that hears a reader ranked before itself is not one.
+ * <p>Invariant: a node that receives heartbeats from a reader ranked before it is not a reader
+ * itself. Not thread-safe.
  */
 public final class ReaderElection {
-    /** How often a reader sends its sign; a fraction of the timeout, so that one may be lost. */
+    /**
+     * Interval between a reader's heartbeats; less than half of the timeout, so that one may be
+     * lost.
+     */
     public static final long PERIOD_MILLISECONDS = 600;
 
-    /** Silence after which a reader counts as gone: two signs may be lost or late. */
+    /**
+     * Time without a heartbeat after which a reader counts as failed; two heartbeats may be lost or
+     * late.
+     */
     public static final long TIMEOUT_MILLISECONDS = 1400;
 
-    /** How much later each further node takes over: time for a sign to arrive. */
-    private static final long STEP_MILLISECONDS = 150;
+    /** Additional timeout per rank, long enough for a heartbeat to arrive. */
+    private static final long RANK_DELAY_MILLISECONDS = 150;
 
     private final NodeId self;
-    private final long listeningSince;
-    private final Map<NodeId, Sign> signs = new HashMap<>();
+    private final long startedAt;
+    private final Map<NodeId, Heartbeat> heartbeats = new HashMap<>();
 
-    private record Sign(long at, boolean storeAnswers) {}
+    private record Heartbeat(long at, boolean storeAnswers) {}
 
     /**
-     * Creates an election that has heard nothing.
+     * Creates an election that has received no heartbeat.
      *
      * @param self this node
-     * @param now milliseconds of a steady clock
+     * @param now current time in milliseconds of a monotonic clock
      */
     public ReaderElection(NodeId self, long now) {
         this.self = self;
-        this.listeningSince = now;
+        this.startedAt = now;
     }
 
-    /** A reader sent a sign. */
+    /**
+     * Called when a heartbeat of a reader arrived; {@code storeAnswers} is whether the store
+     * answers the reader.
+     */
     public void onHeartbeat(NodeId reader, boolean storeAnswers, long now) {
-        signs.values().removeIf(sign -> now - sign.at() >= TIMEOUT_MILLISECONDS);
-        signs.put(reader, new Sign(now, storeAnswers));
+        heartbeats.values().removeIf(heartbeat -> now - heartbeat.at() >= TIMEOUT_MILLISECONDS);
+        heartbeats.put(reader, new Heartbeat(now, storeAnswers));
     }
 
-    /** Whether this node is to read for its data centre. */
+    /** Whether this node is a reader for its data centre. */
     public boolean isReader(Collection<NodeId> dataCentre, long now) {
-        long own = StableHash.of(self.value());
-        long silentSince = listeningSince;
+        long ownHash = StableHash.of(self.value());
+        long lastHeartbeatAt = startedAt;
         long rank = 0;
         for (NodeId node : dataCentre) {
-            if (!node.equals(self) && StableHash.of(node.value()) < own) {
+            if (!node.equals(self) && StableHash.of(node.value()) < ownHash) {
                 rank++;
-                Sign sign = signs.get(node);
-                silentSince = sign == null ? silentSince : Math.max(silentSince, sign.at());
+                Heartbeat heartbeat = heartbeats.get(node);
+                lastHeartbeatAt =
+                        heartbeat == null
+                                ? lastHeartbeatAt
+                                : Math.max(lastHeartbeatAt, heartbeat.at());
             }
         }
-        return rank == 0 || now - silentSince >= TIMEOUT_MILLISECONDS + rank * STEP_MILLISECONDS;
+        return rank == 0
+                || now - lastHeartbeatAt >= TIMEOUT_MILLISECONDS + rank * RANK_DELAY_MILLISECONDS;
     }
 
-    /** Whether some reader that the store answers was heard lately. */
+    /** Whether a heartbeat arrived recently from a reader that the store answers. */
     public boolean hasHealthyReader(long now) {
-        return signs.values().stream().anyMatch(sign -> sign.storeAnswers() && isFresh(sign, now));
+        return heartbeats.values().stream()
+                .anyMatch(heartbeat -> heartbeat.storeAnswers() && isFresh(heartbeat, now));
     }
 
-    private static boolean isFresh(Sign sign, long now) {
-        return now - sign.at() < TIMEOUT_MILLISECONDS;
+    private static boolean isFresh(Heartbeat heartbeat, long now) {
+        return now - heartbeat.at() < TIMEOUT_MILLISECONDS;
     }
 }
--- a/core/src/test/java/org/damaskmoor/core/election/ReaderElectionTest.java
+++ b/core/src/test/java/org/damaskmoor/core/election/ReaderElectionTest.java
@@ -25,21 +25,21 @@
             nodes.stream().map(node -> new ReaderElection(node, START)).toList();
 
     @Test
-    void should_let_one_node_of_a_data_centre_read() {
+    void should_elect_one_reader_per_data_centre() {
         // when
-        Set<NodeId> readers = play(START, START + 5000, Set.of());
+        Set<NodeId> readers = simulate(START, START + 5000, Set.of());
 
         // then
         assertThat(readers).containsExactly(nodes.get(0));
     }
 
     @Test
-    void should_let_few_nodes_take_over_when_the_reader_is_gone() {
+    void should_let_few_nodes_take_over_when_the_reader_fails() {
         // given
-        play(START, START + 5000, Set.of());
+        simulate(START, START + 5000, Set.of());
 
         // when
-        Set<NodeId> readers = play(START + 5000, START + 10_000, Set.of(nodes.get(0)));
+        Set<NodeId> readers = simulate(START + 5000, START + 10_000, Set.of(nodes.get(0)));
 
         // then
         assertThat(readers).contains(nodes.get(1));
@@ -47,19 +47,19 @@
     }
 
     @Test
-    void should_give_reading_back_to_the_first_node_when_it_returns() {
+    void should_elect_the_first_node_again_when_it_returns() {
         // given
-        play(START, START + 5000, Set.of(nodes.get(0)));
+        simulate(START, START + 5000, Set.of(nodes.get(0)));
 
         // when
-        play(START + 5000, START + 7000, Set.of());
+        simulate(START + 5000, START + 7000, Set.of());
 
         // then
-        assertThat(play(START + 7000, START + 9000, Set.of())).containsExactly(nodes.get(0));
+        assertThat(simulate(START + 7000, START + 9000, Set.of())).containsExactly(nodes.get(0));
     }
 
     @Test
-    void should_notice_within_the_timeout_that_no_reader_tells_any_more() {
+    void should_detect_within_the_timeout_that_no_reader_sends_heartbeats() {
         // given
         ReaderElection last = elections.get(NODES - 1);
         last.onHeartbeat(nodes.get(0), true, START);
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void should_not_count_as_informed_while_the_store_does_not_answer_the_reader() {
+    void should_have_no_healthy_reader_while_the_store_does_not_answer_it() {
         // given
         ReaderElection last = elections.get(NODES - 1);
 
@@ -82,21 +82,24 @@
         assertThat(last.hasHealthyReader(START)).isFalse();
     }
 
-    /** Lets the nodes that are not gone send signs; returns all that were readers meanwhile. */
-    private Set<NodeId> play(long from, long until, Set<NodeId> gone) {
+    /**
+     * Simulates the heartbeats of all nodes except the failed ones; returns all nodes that were
+     * readers in the meantime.
+     */
+    private Set<NodeId> simulate(long from, long until, Set<NodeId> failed) {
         Set<NodeId> readers = new HashSet<>();
         for (long now = from; now < until; now += STEP_MILLISECONDS) {
             for (int i = 0; i < NODES; i++) {
-                if (!gone.contains(nodes.get(i)) && elections.get(i).isReader(nodes, now)) {
+                if (!failed.contains(nodes.get(i)) && elections.get(i).isReader(nodes, now)) {
                     readers.add(nodes.get(i));
-                    tell(nodes.get(i), now);
+                    sendHeartbeat(nodes.get(i), now);
                 }
             }
         }
         return readers;
     }
 
-    private void tell(NodeId reader, long now) {
+    private void sendHeartbeat(NodeId reader, long now) {
         for (int i = 0; i < NODES; i++) {
             if (!nodes.get(i).equals(reader)) {
                 elections.get(i).onHeartbeat(reader, true, now);
