--- a/core/src/test/java/org/damaskmoor/core/queueing/SlowdownDetectorTest.java
+++ b/core/src/test/java/org/damaskmoor/core/queueing/SlowdownDetectorTest.java
@@ -61,7 +61,7 @@
 
     /**
      * Simulates a VM that is five times slower in a quarter of its 150 ms intervals, where work
-     * keeps the speed with which it started. The baseline starts all work at once.
+     * keeps the speed with which it started. The baseline starts each call on arrival.
      */
     @Test
     void should_reduce_the_time_of_work_on_a_vm_with_slowdowns() {
