--- a/relay/src/main/java/org/damaskmoor/relay/CdsTrainingRun.java
+++ b/relay/src/main/java/org/damaskmoor/relay/CdsTrainingRun.java
@@ -23,9 +23,8 @@
 import org.damaskmoor.relay.internal.time.EventLoopTimers;
 
 /**
- * Starts a relay on loopback ports and sends it a few requests, so that the virtual machine can
- * archive the classes of a start. A relay that starts from the archive serves about a second
- * sooner.
+ * Starts a relay on loopback ports and sends it a few requests, so that the JVM can archive the
+ * classes that a start loads. With the archive, a relay serves about a second sooner.
  *
  * <p>Used by the build. Confined to one thread.
  */
@@ -42,9 +41,11 @@
         RelaySettings settings = settings();
         RelayNode node = new RelayNode(settings, loop, timers, log);
         loop.submit(node::start).get().join();
-        ask(settings.readiness(), "GET " + EndpointPaths.READY + " HTTP/1.1\r\nHost: a\r\n\r\n");
-        ask(settings.callers(), "GET /a/ HTTP/1.1\r\nHost: a\r\nRequest-Id: 1\r\n\r\n");
-        ask(settings.announcements(), "GET /a HTTP/1.1\r\nHost: a\r\n\r\n");
+        request(
+                settings.readiness(),
+                "GET " + EndpointPaths.READY + " HTTP/1.1\r\nHost: a\r\n\r\n");
+        request(settings.callers(), "GET /a/ HTTP/1.1\r\nHost: a\r\nRequest-Id: 1\r\n\r\n");
+        request(settings.announcements(), "GET /a HTTP/1.1\r\nHost: a\r\n\r\n");
         loadDecoders();
         Thread.sleep(STORE_ATTEMPTS_MILLISECONDS);
         log.close();
@@ -57,7 +58,7 @@
                         + "\"services\":[{\"name\":\"s\"}],\"limits\":{}}");
     }
 
-    private static void ask(InetSocketAddress address, String request) throws IOException {
+    private static void request(InetSocketAddress address, String request) throws IOException {
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.setSoTimeout(SOCKET_TIMEOUT_MILLISECONDS);
             socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
@@ -69,20 +70,20 @@
     }
 
     private static RelaySettings settings() throws IOException {
-        InetSocketAddress links = free();
+        InetSocketAddress links = freeAddress();
         return new RelaySettings(
                 new NodeId("rehearsal"),
                 new RegionName("here"),
                 new DataCentreName("here"),
                 new ServiceName("rehearsal"),
-                free(),
+                freeAddress(),
                 links,
                 links,
-                free(),
-                free(),
-                free(),
-                free(),
-                Optional.of(free()),
+                freeAddress(),
+                freeAddress(),
+                freeAddress(),
+                freeAddress(),
+                Optional.of(freeAddress()),
                 List.of(),
                 1000,
                 1000,
@@ -92,7 +93,7 @@
                 1);
     }
 
-    private static InetSocketAddress free() throws IOException {
+    private static InetSocketAddress freeAddress() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return new InetSocketAddress(InetAddress.getLoopbackAddress(), socket.getLocalPort());
         }
--- a/relay/src/main/java/org/damaskmoor/relay/RelayMain.java
+++ b/relay/src/main/java/org/damaskmoor/relay/RelayMain.java
@@ -15,19 +15,19 @@
 import org.damaskmoor.relay.internal.log.RateLimitedEventLog;
 import org.damaskmoor.relay.internal.time.EventLoopTimers;
 
-/** The relay program. Runs until it is told to stop. */
+/** The relay program. Runs until it is stopped by a signal. */
 public final class RelayMain {
     private static final int EXIT_PLANNED_STOP = 0;
     private static final int EXIT_NOT_STARTED = 1;
     private static final int EXIT_BAD_SETTING = 2;
-    private static final String CHECK = "--check-settings";
+    private static final String CHECK_SETTINGS = "--check-settings";
     private static final String REHEARSE = "--rehearse";
     private static final String USAGE =
             """
             usage: damaskmoor-relay [--check-settings] [SETTINGS-FILE]
-              SETTINGS-FILE     properties; without it, the file that the platform names
-              --check-settings  only says whether the settings can be used
-              --rehearse        starts on loopback ports and ends, for the build""";
+              SETTINGS-FILE     properties file; by default the one that the platform names
+              --check-settings  checks the settings and exits
+              --rehearse        runs a class data sharing training run and exits; for the build""";
 
     private RelayMain() {}
 
@@ -37,9 +37,9 @@
 
     private static int run(String[] arguments) {
         if (arguments.length == 1 && arguments[0].equals(REHEARSE)) {
-            return rehearse();
+            return runCdsTraining();
         }
-        boolean check = arguments.length > 0 && arguments[0].equals(CHECK);
+        boolean check = arguments.length > 0 && arguments[0].equals(CHECK_SETTINGS);
         Optional<Path> file = settingsFile(arguments, check ? 1 : 0);
         if (file.isEmpty()) {
             System.err.println(USAGE);
@@ -48,19 +48,20 @@
         RelaySettings settings;
         try {
             settings = RelaySettingsReader.read(file.get());
-        } catch (SettingsException unusable) {
-            System.err.println(unusable.getMessage());
+        } catch (SettingsException invalid) {
+            System.err.println(invalid.getMessage());
             return EXIT_BAD_SETTING;
         }
         return check ? EXIT_PLANNED_STOP : run(settings, file.get());
     }
 
-    private static int rehearse() {
+    private static int runCdsTraining() {
         try {
             CdsTrainingRun.run();
             return EXIT_PLANNED_STOP;
         } catch (IOException | ExecutionException | CompletionException failure) {
-            System.err.println("The rehearsal failed: " + failure.getMessage());
+            System.err.println(
+                    "The training run for class data sharing failed: " + failure.getMessage());
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
@@ -99,7 +100,7 @@
         return EXIT_PLANNED_STOP;
     }
 
-    /** A planned stop ends with 0, although a signal asked for it. */
+    /** Stops gracefully and exits with 0, although a signal ended the process. */
     private static void stop(EventLoop loop, RelayNode node, RateLimitedEventLog log) {
         CountDownLatch stopped = new CountDownLatch(1);
         loop.execute(() -> node.stop().thenRun(stopped::countDown));
--- a/relay/src/main/java/org/damaskmoor/relay/RelaySettings.java
+++ b/relay/src/main/java/org/damaskmoor/relay/RelaySettings.java
@@ -9,27 +9,28 @@
 import org.damaskmoor.core.id.ServiceName;
 
 /**
- * Settings of one relay, checked. Immutable and thread-safe.
+ * Validated settings of one relay. Immutable and thread-safe.
  *
- * @param node name of this node
+ * @param node id of this node
  * @param region region of its VM
  * @param dataCentre data centre of its VM
  * @param service service of the upstream on the same VM
- * @param callers where callers send their requests
- * @param links where this node waits for links of other nodes
- * @param advertisedLinks where other nodes find it; differs behind a proxy
- * @param readiness where the platform asks whether this node takes callers
- * @param announcements where the upstream announces itself
- * @param upstream where the upstream serves
- * @param store the platform's metadata store
- * @param metrics where counters are served, or empty for nowhere
- * @param seeds VMs on which other nodes may be found when the store does not answer
- * @param drainMilliseconds how long a leaving upstream still takes calls, from the acknowledgement
- * @param stopMilliseconds time that a planned stop may take
- * @param retryRatio further attempts for each request, over all nodes
- * @param retrySlack further attempts beside those, over all nodes and a window
+ * @param callers address for requests of callers
+ * @param links address for links from other nodes
+ * @param advertisedLinks link address that other nodes use; differs from {@code links} behind a
+ *     proxy
+ * @param readiness address for the platform's readiness checks
+ * @param announcements address for announcements of the upstream
+ * @param upstream address of the upstream
+ * @param store address of the platform's metadata store
+ * @param metrics address for metrics; empty if they are not served
+ * @param seeds VMs on which other nodes may run, asked while the store does not answer
+ * @param drainMilliseconds how long a leaving upstream still gets calls, from the acknowledgement
+ * @param stopMilliseconds longest duration of a planned stop
+ * @param retryRatio retries allowed for each request, over all nodes
+ * @param retrySlack retries allowed in addition, over all nodes and a window
  * @param retryWindowMilliseconds length of that window
- * @param healthChecksPerSecond most health checks of the upstream in a second
+ * @param healthChecksPerSecond greatest rate of health checks of the upstream
  */
 public record RelaySettings(
         NodeId node,
--- a/relay/src/main/java/org/damaskmoor/relay/RelaySettingsReader.java
+++ b/relay/src/main/java/org/damaskmoor/relay/RelaySettingsReader.java
@@ -20,7 +20,7 @@
 import org.damaskmoor.relay.internal.net.Addresses;
 
 /**
- * Reads the settings of a relay from a properties file and lists all faults at once.
+ * Reads the settings of a relay from a properties file and reports all faults together.
  *
  * <p>Confined to one thread.
  */
@@ -35,22 +35,21 @@
     }
 
     /**
-     * Reads a file.
+     * Reads and checks a file.
      *
-     * @throws SettingsException when it can't be read, or with the list of its faults
+     * @throws SettingsException if it can't be read, or with the list of its faults
      */
     public static RelaySettings read(Path file) throws SettingsException {
         Properties properties = new Properties();
         try (Reader reader = Files.newBufferedReader(file)) {
             properties.load(reader);
-        } catch (IOException | IllegalArgumentException unreadable) {
+        } catch (IOException | IllegalArgumentException invalid) {
             throw new SettingsException(
                     List.of(
                             new SettingFault(
                                     "settings file",
                                     file.toString(),
-                                    "a readable properties file, but: "
-                                            + unreadable.getMessage())));
+                                    "a readable properties file, but: " + invalid.getMessage())));
         }
         return read(properties);
     }
@@ -81,13 +80,13 @@
         Optional<InetSocketAddress> store = address("store-address");
         Optional<InetSocketAddress> metrics =
                 text("metrics-address").isEmpty() ? Optional.empty() : address("metrics-address");
-        Optional<Long> drain = value("drain", RelaySettingsReader::milliseconds);
-        Optional<Long> stop = value("stop-timeout", RelaySettingsReader::milliseconds);
-        Optional<Double> ratio = value("retry-ratio", RelaySettingsReader::notNegative);
-        Optional<Double> slack = value("retry-slack", RelaySettingsReader::notNegative);
-        Optional<Long> window = value("retry-window", RelaySettingsReader::milliseconds);
+        Optional<Long> drain = value("drain", RelaySettingsReader::parseMilliseconds);
+        Optional<Long> stop = value("stop-timeout", RelaySettingsReader::parseMilliseconds);
+        Optional<Double> ratio = value("retry-ratio", RelaySettingsReader::parseNonNegative);
+        Optional<Double> slack = value("retry-slack", RelaySettingsReader::parseNonNegative);
+        Optional<Long> window = value("retry-window", RelaySettingsReader::parseMilliseconds);
         Optional<Double> checks =
-                value("health-checks-per-second", RelaySettingsReader::notNegative);
+                value("health-checks-per-second", RelaySettingsReader::parseNonNegative);
         if (!faults.isEmpty()) {
             throw new SettingsException(faults);
         }
@@ -136,24 +135,24 @@
         }
         try {
             return Optional.of(reader.apply(text));
-        } catch (IllegalArgumentException unusable) {
-            faults.add(new SettingFault(name, text, unusable.getMessage()));
+        } catch (IllegalArgumentException invalid) {
+            faults.add(new SettingFault(name, text, invalid.getMessage()));
             return Optional.empty();
         }
     }
 
-    private static long milliseconds(String text) {
+    private static long parseMilliseconds(String text) {
         if (text.endsWith("ms")) {
-            return Math.round(notNegative(text.substring(0, text.length() - 2)));
+            return Math.round(parseNonNegative(text.substring(0, text.length() - 2)));
         }
         if (text.endsWith("s")) {
-            double seconds = notNegative(text.substring(0, text.length() - 1));
+            double seconds = parseNonNegative(text.substring(0, text.length() - 1));
             return Math.round(seconds * MILLISECONDS_PER_SECOND);
         }
         throw new IllegalArgumentException("a number that ends with ms or s");
     }
 
-    private static double notNegative(String text) {
+    private static double parseNonNegative(String text) {
         double number = Double.parseDouble(text);
         if (!(number >= 0)) {
             throw new IllegalArgumentException("a number that is not negative");
--- a/relay/src/main/java/org/damaskmoor/relay/internal/GracefulStop.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/GracefulStop.java
@@ -5,19 +5,19 @@
 import org.damaskmoor.relay.internal.time.Timers;
 
 /**
- * The course of a planned stop: callers are given time to go elsewhere, then new requests are
- * refused, and the node ends when nothing is open any more or its time is over.
+ * Runs a planned stop: callers get time to go elsewhere, then new requests are refused, and the
+ * stop ends when no request is open or its time is over.
  *
  * <p>Confined to the event loop.
  */
 final class GracefulStop {
-    /** Time in which the platform notices that the node is not ready, and callers leave. */
+    /** Time for the platform to notice that the node is not ready, and for callers to leave. */
     private static final long LEAVE_MILLISECONDS = 2600;
 
-    /** Left of the stop timeout for closing. */
+    /** Part of the stop timeout that is reserved for closing connections. */
     private static final long MARGIN_MILLISECONDS = 900;
 
-    private static final long LOOK_MILLISECONDS = 50;
+    private static final long CHECK_INTERVAL_MILLISECONDS = 50;
 
     private final Timers timers;
     private final long stopMilliseconds;
@@ -32,29 +32,31 @@
         return running;
     }
 
-    CompletableFuture<Void> run(Runnable refuseNew, BooleanSupplier idle) {
+    CompletableFuture<Void> run(Runnable rejectNewRequests, BooleanSupplier idle) {
         running = true;
         CompletableFuture<Void> ended = new CompletableFuture<>();
-        long leaveAt = timers.now() + Math.min(LEAVE_MILLISECONDS, stopMilliseconds / 2);
+        long rejectAt = timers.now() + Math.min(LEAVE_MILLISECONDS, stopMilliseconds / 2);
         long endAt = timers.now() + stopMilliseconds - MARGIN_MILLISECONDS;
-        look(refuseNew, idle, leaveAt, endAt, ended);
+        check(rejectNewRequests, idle, rejectAt, endAt, ended);
         return ended;
     }
 
-    private void look(
-            Runnable refuseNew,
+    private void check(
+            Runnable rejectNewRequests,
             BooleanSupplier idle,
-            long leaveAt,
+            long rejectAt,
             long endAt,
             CompletableFuture<Void> ended) {
         long now = timers.now();
-        if (now >= leaveAt) {
-            refuseNew.run();
+        if (now >= rejectAt) {
+            rejectNewRequests.run();
         }
-        if ((now >= leaveAt && idle.getAsBoolean()) || now >= endAt) {
+        if ((now >= rejectAt && idle.getAsBoolean()) || now >= endAt) {
             ended.complete(null);
             return;
         }
-        timers.schedule(LOOK_MILLISECONDS, () -> look(refuseNew, idle, leaveAt, endAt, ended));
+        timers.schedule(
+                CHECK_INTERVAL_MILLISECONDS,
+                () -> check(rejectNewRequests, idle, rejectAt, endAt, ended));
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/HangUpSignal.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/HangUpSignal.java
@@ -4,14 +4,13 @@
 import java.lang.reflect.Proxy;
 
 /**
- * The signal that asks a process to read its settings again. Without a handler it would end the
- * process. The class library offers no public way to handle it, so its unsupported one is used.
- * Thread-safe.
+ * Handles SIGHUP, which asks the process to read its settings again and would end it if unhandled.
+ * Uses {@code sun.misc.Signal} by reflection, because there is no public API. Thread-safe.
  */
 final class HangUpSignal {
     private HangUpSignal() {}
 
-    /** Runs the task, on a thread of the virtual machine, whenever the signal comes. */
+    /** Runs the task on a thread of the JVM whenever the signal arrives. */
     static void handle(Runnable task) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
@@ -34,7 +33,8 @@
                 | InstantiationException
                 | IllegalAccessException
                 | InvocationTargetException unsupported) {
-            throw new IllegalStateException("The signal HUP can't be handled.", unsupported);
+            throw new IllegalStateException(
+                    "The JVM does not support handling the signal HUP.", unsupported);
         }
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/LocalLink.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/LocalLink.java
@@ -12,17 +12,21 @@
 import org.damaskmoor.schema.link.ForwardedCall;
 import org.damaskmoor.schema.link.ReaderSign;
 
-/** The way from this node's entry to its own target. Confined to the event loop. */
+/** The link from this node's entry to its own target. Confined to the event loop. */
 final class LocalLink implements CallLink {
     private final EntryId self;
     private final TargetCallHandler target;
-    private final CallOutcomeListener outcomes;
+    private final CallOutcomeListener outcomeListener;
     private final Timers timers;
 
-    LocalLink(EntryId self, TargetCallHandler target, CallOutcomeListener outcomes, Timers timers) {
+    LocalLink(
+            EntryId self,
+            TargetCallHandler target,
+            CallOutcomeListener outcomeListener,
+            Timers timers) {
         this.self = self;
         this.target = target;
-        this.outcomes = outcomes;
+        this.outcomeListener = outcomeListener;
         this.timers = timers;
     }
 
@@ -43,12 +47,12 @@
 
     @Override
     public void send(ForwardedCall call) {
-        timers.execute(() -> target.onCall(self, call, outcomes));
+        timers.execute(() -> target.onCall(self, call, outcomeListener));
     }
 
     @Override
     public void send(CallSeal seal) {
-        timers.execute(() -> target.onSeal(self, seal, outcomes));
+        timers.execute(() -> target.onSeal(self, seal, outcomeListener));
     }
 
     @Override
@@ -58,21 +62,21 @@
 
     @Override
     public void send(FleetNews news) {
-        // What this node knows, it knows.
+        // This node needs no messages about what it already knows.
     }
 
     @Override
     public void send(ReaderSign sign) {
-        // What this node knows, it knows.
+        // This node needs no messages about what it already knows.
     }
 
     @Override
     public void send(FleetRequest request) {
-        // What this node knows, it knows.
+        // This node needs no messages about what it already knows.
     }
 
     @Override
     public void close() {
-        // Lives as long as the node.
+        // Open as long as the node runs.
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/MemberTableListener.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/MemberTableListener.java
@@ -12,26 +12,26 @@
 import org.damaskmoor.schema.link.FleetNews;
 
 /**
- * Leads the store's records of nodes to those that keep them: the directory, this node's own
- * record, and through the reader of a data centre its other nodes.
+ * Passes member rows of the store to the fleet directory, to the publisher of this node's record
+ * and, if this node is the reader, to the other nodes of its data centre.
  *
- * <p>Confined to the event loop. Invariant: only a reader tells others.
+ * <p>Confined to the event loop. Invariant: only a reader sends rows to other nodes.
  */
 final class MemberTableListener implements TableWatch.Listener {
     private final NodeId self;
     private final FleetDirectory fleet;
-    private final OwnRecordPublisher ownRecord;
-    private final StoreReaderCoordinator reading;
+    private final OwnRecordPublisher ownRecordPublisher;
+    private final StoreReaderCoordinator storeReader;
 
     MemberTableListener(
             NodeId self,
             FleetDirectory fleet,
-            OwnRecordPublisher ownRecord,
-            StoreReaderCoordinator reading) {
+            OwnRecordPublisher ownRecordPublisher,
+            StoreReaderCoordinator storeReader) {
         this.self = self;
         this.fleet = fleet;
-        this.ownRecord = ownRecord;
-        this.reading = reading;
+        this.ownRecordPublisher = ownRecordPublisher;
+        this.storeReader = storeReader;
     }
 
     @Override
@@ -39,23 +39,23 @@
         fleet.onSnapshot(rows);
         Optional<StoredRow> own =
                 rows.stream().filter(row -> row.key().equals(self.value())).findFirst();
-        own.ifPresentOrElse(ownRecord::onRow, ownRecord::onRowAbsent);
+        own.ifPresentOrElse(ownRecordPublisher::onRow, ownRecordPublisher::onRowAbsent);
     }
 
     @Override
     public void onChange(StoredRow row) {
         fleet.onChange(row);
         if (row.key().equals(self.value())) {
-            ownRecord.onRow(row);
+            ownRecordPublisher.onRow(row);
         }
         if (!row.key().isEmpty()) {
-            changed(row)
+            changedMember(row)
                     .map(member -> FleetNews.newBuilder().addMembers(member).build())
-                    .ifPresent(reading::sendToDataCentre);
+                    .ifPresent(storeReader::sendToDataCentre);
         }
     }
 
-    private Optional<FleetMember> changed(StoredRow row) {
+    private Optional<FleetMember> changedMember(StoredRow row) {
         if (!row.removed()) {
             return fleet.find(new NodeId(row.key())).map(FleetTarget::member);
         }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/NodeIncomingLinkHandler.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/NodeIncomingLinkHandler.java
@@ -15,40 +15,43 @@
 import org.damaskmoor.schema.link.LinkHello;
 import org.damaskmoor.schema.link.ReaderSign;
 
-/** Leads what entries send to the target and the directory. Confined to the event loop. */
+/**
+ * Passes what other nodes send to the target, the fleet directory and the store reader. Confined to
+ * the event loop.
+ */
 final class NodeIncomingLinkHandler implements IncomingLinkHandler {
     private final TargetCallHandler target;
-    private final Supplier<LinkHello> greeting;
-    private final Function<FleetRequest, FleetNews> answerNews;
+    private final Supplier<LinkHello> hello;
+    private final Function<FleetRequest, FleetNews> fleetNews;
     private final Consumer<FleetNews> news;
-    private final Consumer<ReaderSign> signs;
+    private final Consumer<ReaderSign> heartbeats;
 
     NodeIncomingLinkHandler(
             TargetCallHandler target,
-            Supplier<LinkHello> greeting,
-            Function<FleetRequest, FleetNews> answerNews,
+            Supplier<LinkHello> hello,
+            Function<FleetRequest, FleetNews> fleetNews,
             Consumer<FleetNews> news,
-            Consumer<ReaderSign> signs) {
+            Consumer<ReaderSign> heartbeats) {
         this.target = target;
-        this.greeting = greeting;
-        this.answerNews = answerNews;
+        this.hello = hello;
+        this.fleetNews = fleetNews;
         this.news = news;
-        this.signs = signs;
+        this.heartbeats = heartbeats;
     }
 
     @Override
-    public LinkHello createHello(EntryId entry, CallOutcomeListener outcomes) {
-        return greeting.get();
+    public LinkHello createHello(EntryId entry, CallOutcomeListener outcomeListener) {
+        return hello.get();
     }
 
     @Override
-    public void onCall(EntryId entry, ForwardedCall call, CallOutcomeListener outcomes) {
-        target.onCall(entry, call, outcomes);
+    public void onCall(EntryId entry, ForwardedCall call, CallOutcomeListener outcomeListener) {
+        target.onCall(entry, call, outcomeListener);
     }
 
     @Override
-    public void onSeal(EntryId entry, CallSeal seal, CallOutcomeListener outcomes) {
-        target.onSeal(entry, seal, outcomes);
+    public void onSeal(EntryId entry, CallSeal seal, CallOutcomeListener outcomeListener) {
+        target.onSeal(entry, seal, outcomeListener);
     }
 
     @Override
@@ -57,22 +60,22 @@
     }
 
     @Override
-    public void onLinkClosed(EntryId entry, CallOutcomeListener outcomes) {
-        target.onLinkClosed(outcomes);
+    public void onLinkClosed(EntryId entry, CallOutcomeListener outcomeListener) {
+        target.onLinkClosed(outcomeListener);
     }
 
     @Override
     public FleetNews createFleetNews(FleetRequest request) {
-        return answerNews.apply(request);
+        return fleetNews.apply(request);
     }
 
     @Override
-    public void onFleetNews(FleetNews told) {
-        news.accept(told);
+    public void onFleetNews(FleetNews received) {
+        news.accept(received);
     }
 
     @Override
     public void onReaderSign(ReaderSign sign) {
-        signs.accept(sign);
+        heartbeats.accept(sign);
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/NodeLinkListener.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/NodeLinkListener.java
@@ -12,7 +12,10 @@
 import org.damaskmoor.schema.link.ForwardedCall;
 import org.damaskmoor.schema.link.LinkHello;
 
-/** Leads what links to targets tell to the entry and the directory. Confined to the event loop. */
+/**
+ * Passes what links to targets report to the entry and the fleet directory. Confined to the event
+ * loop.
+ */
 final class NodeLinkListener implements LinkListener {
     private final Supplier<EntryRequestHandler> entry;
     private final Supplier<FleetDirectory> fleet;
@@ -51,7 +54,7 @@
     }
 
     @Override
-    public void onFleetNews(FleetNews told) {
-        news.accept(told);
+    public void onFleetNews(FleetNews received) {
+        news.accept(received);
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/NodePorts.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/NodePorts.java
@@ -7,13 +7,13 @@
 import org.damaskmoor.relay.internal.link.LinkServer;
 
 /**
- * The ports of a node. Immutable; its parts are confined to the event loop.
+ * The servers of a node. Immutable; its parts are confined to the event loop.
  *
  * @param announcements for the upstream
  * @param links for other nodes
  * @param readiness for the platform
  * @param callers for callers
- * @param metrics for counters, or empty
+ * @param metrics for metrics, if they are served
  */
 record NodePorts(
         ControlHttpServer announcements,
@@ -22,7 +22,7 @@
         CallerServer callers,
         Optional<ControlHttpServer> metrics) {
 
-    /** Opens all of them, the one for callers last. */
+    /** Opens all ports, the one for callers last. */
     CompletableFuture<Void> start() {
         return announcements
                 .start()
@@ -37,7 +37,7 @@
                 .orElseGet(() -> CompletableFuture.completedFuture(null));
     }
 
-    /** Closes all of them. */
+    /** Closes all ports. */
     void stop() {
         callers.stop();
         links.stop();
--- a/relay/src/main/java/org/damaskmoor/relay/internal/NodeQuarantine.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/NodeQuarantine.java
@@ -13,7 +13,10 @@
 import org.damaskmoor.relay.internal.time.Timers;
 import org.damaskmoor.schema.gossip.QuarantineRecord;
 
-/** The crashes of upstreams that this node knows of. Confined to the event loop. */
+/**
+ * The quarantine of requests that crash upstreams, as this node knows it. Confined to the event
+ * loop.
+ */
 final class NodeQuarantine implements QuarantinedRequests {
     private final NodeId self;
     private final Incarnation incarnation;
@@ -28,7 +31,7 @@
         this.timers = timers;
     }
 
-    /** The own upstream crashed; returns what peers are to be told. */
+    /** This node's upstream crashed; returns the records to send to peers. */
     List<QuarantineRecord> onUpstreamCrashed(Collection<RequestFingerprint> running) {
         if (running.isEmpty()) {
             return List.of();
@@ -43,19 +46,19 @@
         return records;
     }
 
-    /** Peers told of crashes; returns those that were news. */
-    List<QuarantineRecord> merge(List<QuarantineRecord> told) {
-        List<QuarantineRecord> news = new ArrayList<>();
-        for (QuarantineRecord record : told) {
+    /** Merges records of peers; returns those that were not known. */
+    List<QuarantineRecord> merge(List<QuarantineRecord> received) {
+        List<QuarantineRecord> added = new ArrayList<>();
+        for (QuarantineRecord record : received) {
             if (quarantine.merge(CrashRecord.of(record), now())) {
                 any = true;
-                news.add(record);
+                added.add(record);
             }
         }
-        return news;
+        return added;
     }
 
-    /** All that is known. */
+    /** All known records. */
     List<QuarantineRecord> records() {
         List<QuarantineRecord> records = new ArrayList<>();
         quarantine.records(now()).forEach(record -> records.add(record.toMessage()));
--- a/relay/src/main/java/org/damaskmoor/relay/internal/NodeTargetCallbacks.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/NodeTargetCallbacks.java
@@ -9,35 +9,38 @@
 import org.damaskmoor.relay.internal.target.TargetCallbacks;
 import org.damaskmoor.schema.gossip.QuarantineRecord;
 
-/** Leads what the target tells to the parts of its node. Confined to the event loop. */
+/**
+ * Passes events of the target to the other parts of its node, and answers its queries. Confined to
+ * the event loop.
+ */
 final class NodeTargetCallbacks implements TargetCallbacks {
-    private final Runnable upstreamChanged;
+    private final Runnable onUpstreamChanged;
     private final Supplier<String> healthPath;
-    private final LongSupplier lastFailure;
-    private final NodeQuarantine crashes;
-    private final Consumer<List<QuarantineRecord>> tell;
+    private final LongSupplier lastFailureAt;
+    private final NodeQuarantine quarantine;
+    private final Consumer<List<QuarantineRecord>> broadcast;
 
     NodeTargetCallbacks(
-            Runnable upstreamChanged,
+            Runnable onUpstreamChanged,
             Supplier<String> healthPath,
-            LongSupplier lastFailure,
-            NodeQuarantine crashes,
-            Consumer<List<QuarantineRecord>> tell) {
-        this.upstreamChanged = upstreamChanged;
+            LongSupplier lastFailureAt,
+            NodeQuarantine quarantine,
+            Consumer<List<QuarantineRecord>> broadcast) {
+        this.onUpstreamChanged = onUpstreamChanged;
         this.healthPath = healthPath;
-        this.lastFailure = lastFailure;
-        this.crashes = crashes;
-        this.tell = tell;
+        this.lastFailureAt = lastFailureAt;
+        this.quarantine = quarantine;
+        this.broadcast = broadcast;
     }
 
     @Override
     public void onUpstreamChanged() {
-        upstreamChanged.run();
+        onUpstreamChanged.run();
     }
 
     @Override
     public boolean failedSince(long time) {
-        return lastFailure.getAsLong() >= time;
+        return lastFailureAt.getAsLong() >= time;
     }
 
     @Override
@@ -47,16 +50,16 @@
 
     @Override
     public void onUpstreamCrashed(Collection<RequestFingerprint> running) {
-        tell.accept(crashes.onUpstreamCrashed(running));
+        broadcast.accept(quarantine.onUpstreamCrashed(running));
     }
 
     @Override
     public void onAnswered(RequestFingerprint request) {
-        crashes.onAnswered(request);
+        quarantine.onAnswered(request);
     }
 
     @Override
     public boolean isQuarantined(RequestFingerprint request) {
-        return crashes.contains(request);
+        return quarantine.contains(request);
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/OwnRecordFactory.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/OwnRecordFactory.java
@@ -5,7 +5,7 @@
 import org.damaskmoor.relay.internal.net.Addresses;
 import org.damaskmoor.schema.link.FleetMember;
 
-/** Makes this node's own record; each has a greater revision. Confined to the event loop. */
+/** Creates this node's member record, with an increasing revision. Confined to the event loop. */
 final class OwnRecordFactory {
     private final RelaySettings settings;
     private final Incarnation incarnation;
--- a/relay/src/main/java/org/damaskmoor/relay/internal/PeerSync.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/PeerSync.java
@@ -15,20 +15,21 @@
 import org.damaskmoor.schema.link.FleetRequest;
 
 /**
- * Asks peers for what the store would have told, while the store does not answer this node.
+ * Requests the configuration, members and crash records from peers while the store does not answer
+ * this node.
  *
- * <p>Confined to the event loop. Invariant: nothing is asked while the store answers.
+ * <p>Confined to the event loop. Invariant: nothing is requested while the store answers.
  */
 final class PeerSync {
-    /** How often peers are asked: a change is to be in force within a second or two. */
+    /** Interval between requests: a change must be in force within a second or two. */
     private static final long PERIOD_MILLISECONDS = 600;
 
-    /** Peers asked each time, so that one that is itself cut off does not matter. */
-    private static final int PEERS = 2;
+    /** Peers asked each time: two, so that one may itself be cut off. */
+    private static final int PEERS_PER_REQUEST = 2;
 
     private final FleetDirectory fleet;
     private final ConfigurationHolder configuration;
-    private final NodeQuarantine crashes;
+    private final NodeQuarantine quarantine;
     private final BooleanSupplier storeLost;
     private final Timers timers;
     private final RandomGenerator random;
@@ -37,66 +38,66 @@
     PeerSync(
             FleetDirectory fleet,
             ConfigurationHolder configuration,
-            NodeQuarantine crashes,
+            NodeQuarantine quarantine,
             BooleanSupplier storeLost,
             Timers timers,
             RandomGenerator random) {
         this.fleet = fleet;
         this.configuration = configuration;
-        this.crashes = crashes;
+        this.quarantine = quarantine;
         this.storeLost = storeLost;
         this.timers = timers;
         this.random = random;
     }
 
-    /** Begins to watch whether the store answers. */
+    /** Starts to check whether the store answers. */
     void start(List<String> seedHosts, int linkPort, Function<InetSocketAddress, CallLink> links) {
         for (String seed : seedHosts) {
             int colon = seed.lastIndexOf(':');
             String host = colon < 0 ? seed : seed.substring(0, colon);
             seeds.add(links.apply(new InetSocketAddress(host, linkPort)));
         }
-        ask();
+        requestNews();
     }
 
-    private void ask() {
+    private void requestNews() {
         if (storeLost.getAsBoolean()) {
             FleetRequest request =
                     FleetRequest.newBuilder()
                             .setConfigurationVersion(configuration.version())
                             .build();
-            List<CallLink> links = reachable();
-            for (int i = 0; i < PEERS && !links.isEmpty(); i++) {
+            List<CallLink> links = candidateLinks();
+            for (int i = 0; i < PEERS_PER_REQUEST && !links.isEmpty(); i++) {
                 links.remove(random.nextInt(links.size())).send(request);
             }
         }
-        timers.schedule(PERIOD_MILLISECONDS, this::ask);
+        timers.schedule(PERIOD_MILLISECONDS, this::requestNews);
     }
 
-    private List<CallLink> reachable() {
-        List<CallLink> up = new ArrayList<>();
-        List<CallLink> others = new ArrayList<>();
+    private List<CallLink> candidateLinks() {
+        List<CallLink> open = new ArrayList<>();
+        List<CallLink> closed = new ArrayList<>();
         for (FleetTarget target : fleet.all()) {
             if (target.link() instanceof LocalLink) {
                 continue;
             }
-            (target.link().isUp() ? up : others).add(target.link());
+            (target.link().isUp() ? open : closed).add(target.link());
         }
-        if (!up.isEmpty()) {
-            return up;
+        if (!open.isEmpty()) {
+            return open;
         }
-        others.addAll(seeds);
-        return others;
+        closed.addAll(seeds);
+        return closed;
     }
 
-    /** What this node knows, for a peer that asks. */
+    /** Creates the answer to a peer that requests fleet news. */
     FleetNews createFleetNews(FleetRequest request) {
         FleetNews.Builder news = FleetNews.newBuilder();
         if (configuration.version() > request.getConfigurationVersion()) {
             news.setConfiguration(configuration.text());
         }
         if (!request.getConfigurationOnly()) {
-            news.addAllCrashes(crashes.records());
+            news.addAllCrashes(quarantine.records());
             fleet.all().forEach(target -> news.addMembers(target.member()));
         }
         return news.build();
--- a/relay/src/main/java/org/damaskmoor/relay/internal/RelayNode.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/RelayNode.java
@@ -46,25 +46,25 @@
 import org.damaskmoor.schema.link.TargetLoad;
 
 /**
- * One relay: the process beside an upstream VM, on one event loop.
+ * A relay: the process beside the upstream of a VM, on one event loop.
  *
- * <p>Confined to the event loop. Invariants: takes callers only with a configuration in force; what
- * it has begun, it ends before it stops, as far as the stop timeout allows.
+ * <p>Confined to the event loop. Invariants: accepts callers only with a configuration in force;
+ * finishes the requests that it has started before it stops, as far as the stop timeout allows.
  */
 public final class RelayNode {
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
     private static final String METRICS_PATH = "/metrics";
 
-    /** Calls remembered at once; each takes some hundred bytes. */
+    /** Calls that the ledger remembers; each takes some hundred bytes. */
     private static final int LEDGER_ENTRIES = 20_000;
 
     private static final long LEDGER_ANSWER_BYTES = 4 * 1024 * 1024;
     private static final int LEDGER_FENCES = 1024;
-    private static final long TICK_MILLISECONDS = 1000;
+    private static final long LEDGER_EXPIRY_INTERVAL_MILLISECONDS = 1000;
 
-    /** Time for the last replies to be written before connections are closed. */
-    private static final long LAST_REPLIES_MILLISECONDS = 50;
+    /** Time to write the last replies before connections are closed. */
+    private static final long FLUSH_MILLISECONDS = 50;
 
     private final RelaySettings settings;
     private final Timers timers;
@@ -73,7 +73,7 @@
     private final RelayMetrics metrics = new RelayMetrics();
     private final Incarnation incarnation = new Incarnation(System.currentTimeMillis());
     private final NodeId self;
-    private final NodeQuarantine crashes;
+    private final NodeQuarantine quarantine;
     private final TargetCallHandler target;
     private final FleetDirectory fleet;
     private final EntryRequestHandler entry;
@@ -81,11 +81,11 @@
     private final OwnRecordPublisher ownRecord;
     private final TableWatch memberWatch;
     private final TableWatch configurationWatch;
-    private final StoreReaderCoordinator reading;
-    private final PeerSync peerNews;
+    private final StoreReaderCoordinator reader;
+    private final PeerSync peerSync;
     private final LinkDialer dialer;
     private final NodePorts ports;
-    private final OwnRecordFactory ownMember;
+    private final OwnRecordFactory recordFactory;
     private final GracefulStop stop;
 
     /** Creates a relay that is not started. */
@@ -94,40 +94,40 @@
         this.timers = timers;
         this.log = log;
         this.self = settings.node();
-        this.crashes = new NodeQuarantine(self, incarnation, timers);
-        this.ownMember = new OwnRecordFactory(settings, incarnation);
-        this.target = targetDesk(loop);
+        this.quarantine = new NodeQuarantine(self, incarnation, timers);
+        this.recordFactory = new OwnRecordFactory(settings, incarnation);
+        this.target = createTarget(loop);
         this.dialer = new LinkDialer(loop, timers, self, incarnation, this::configurationVersion);
-        this.fleet = directory();
-        this.entry = entryDesk();
+        this.fleet = createFleetDirectory();
+        this.entry = createEntry();
         this.configuration = new ConfigurationHolder(log, this::onConfiguration);
         RowStore store = new HttpRowStore(loop, settings.store());
         this.ownRecord = new OwnRecordPublisher(self, store, timers, random, log);
-        this.reading =
+        this.reader =
                 new StoreReaderCoordinator(
                         self,
                         fleet,
                         configuration,
                         this::isStoreLost,
                         this::isConfigurationLost,
-                        this::askStoreNow,
-                        this::suspectStore,
+                        this::pollStoreNow,
+                        this::rereadIfWaiting,
                         timers,
                         random,
                         log);
-        MemberTableListener members = new MemberTableListener(self, fleet, ownRecord, reading);
+        MemberTableListener members = new MemberTableListener(self, fleet, ownRecord, reader);
         this.memberWatch =
-                tableWatch(FleetDirectory.TABLE, store, members, reading.memberPace(), () -> {});
+                tableWatch(FleetDirectory.TABLE, store, members, reader.memberPolicy(), () -> {});
         this.configurationWatch =
                 tableWatch(
                         ConfigurationDecoder.TABLE,
                         store,
                         configuration,
-                        reading.configurationPace(),
+                        reader.configurationPolicy(),
                         this::onStoreRegained);
-        this.peerNews =
-                new PeerSync(fleet, configuration, crashes, this::isStoreLost, timers, random);
-        this.ports = ports(loop);
+        this.peerSync =
+                new PeerSync(fleet, configuration, quarantine, this::isStoreLost, timers, random);
+        this.ports = createPorts(loop);
         this.stop = new GracefulStop(timers, settings.stopMilliseconds());
         metrics.gauge("open-requests", entry::openRequests);
         metrics.gauge("members", () -> fleet.all().size());
@@ -138,18 +138,20 @@
             String table,
             RowStore store,
             TableWatch.Listener listener,
-            TableWatch.Pace pace,
+            TableWatch.PollPolicy pollPolicy,
             Runnable onRegained) {
-        return new TableWatch(table, store, timers, random, log, listener, pace, onRegained);
+        return new TableWatch(table, store, timers, random, log, listener, pollPolicy, onRegained);
     }
 
-    private void askStoreNow() {
+    private void pollStoreNow() {
         configurationWatch.pollNow();
         memberWatch.pollNow();
     }
 
-    /** Another node has a change that the store, which is asked for it, has not told this one. */
-    private void suspectStore() {
+    /**
+     * Calls the store again if a call is pending: a peer knows a change that it has not returned.
+     */
+    private void rereadIfWaiting() {
         if (configurationWatch.isWaiting()) {
             configurationWatch.rereadTable();
             memberWatch.rereadTable();
@@ -164,7 +166,7 @@
         return configurationWatch.isLost();
     }
 
-    private TargetCallHandler targetDesk(EventLoop loop) {
+    private TargetCallHandler createTarget(EventLoop loop) {
         return new TargetCallHandler(
                 incarnation,
                 new UpstreamTracker(settings.drainMilliseconds()),
@@ -179,12 +181,12 @@
                         this::onUpstreamChanged,
                         this::healthPath,
                         () -> entry().lastFailureAt(),
-                        crashes,
-                        this::tellCrashes),
+                        quarantine,
+                        this::broadcastCrashes),
                 settings.healthChecksPerSecond());
     }
 
-    private FleetDirectory directory() {
+    private FleetDirectory createFleetDirectory() {
         NodeLinkListener listener = new NodeLinkListener(this::entry, this::fleet, this::merge);
         return new FleetDirectory(
                 self,
@@ -195,7 +197,7 @@
                 log);
     }
 
-    private EntryRequestHandler entryDesk() {
+    private EntryRequestHandler createEntry() {
         EntryContext context =
                 new EntryContext(
                         settings.service(),
@@ -210,17 +212,17 @@
                         random,
                         log,
                         metrics);
-        return new EntryRequestHandler(self, incarnation, context, crashes);
+        return new EntryRequestHandler(self, incarnation, context, quarantine);
     }
 
-    private NodePorts ports(EventLoop loop) {
-        NodeIncomingLinkHandler receiver =
+    private NodePorts createPorts(EventLoop loop) {
+        NodeIncomingLinkHandler linkHandler =
                 new NodeIncomingLinkHandler(
                         target,
-                        this::greeting,
-                        peerNews::createFleetNews,
+                        this::createHello,
+                        peerSync::createFleetNews,
                         this::merge,
-                        reading::onReaderSign);
+                        reader::onReaderSign);
         CallerServer callers =
                 new CallerServer(
                         loop,
@@ -232,38 +234,38 @@
         return new NodePorts(
                 new ControlHttpServer(
                         loop, settings.announcements(), new AnnouncementEndpoint(target, log)),
-                new LinkServer(loop, settings.links(), receiver),
+                new LinkServer(loop, settings.links(), linkHandler),
                 new ControlHttpServer(
                         loop, settings.readiness(), (method, path, body) -> readiness(path)),
                 callers,
-                settings.metrics().map(address -> metricsPort(loop, address)));
+                settings.metrics().map(address -> createMetricsServer(loop, address)));
     }
 
-    private ControlHttpServer metricsPort(EventLoop loop, InetSocketAddress address) {
+    private ControlHttpServer createMetricsServer(EventLoop loop, InetSocketAddress address) {
         return new ControlHttpServer(loop, address, (method, path, body) -> metrics(path));
     }
 
-    /** Opens all ports and begins to read the store; completes when the ports are open. */
+    /** Opens all ports, then starts to read the store; completes when the ports are open. */
     public CompletableFuture<Void> start() {
-        LocalLink local =
+        LocalLink localLink =
                 new LocalLink(
                         new EntryId(self, incarnation),
                         target,
                         entry.outcomeListener(self),
                         timers);
-        fleet.addSelf(ownMember.create(settings.service().value(), 0), local);
+        fleet.addSelf(recordFactory.create(settings.service().value(), 0), localLink);
         return ports.start().thenRun(this::begin);
     }
 
     private void begin() {
         configurationWatch.start();
         memberWatch.start();
-        reading.start();
-        peerNews.start(
+        reader.start();
+        peerSync.start(
                 settings.seeds(),
                 settings.links().getPort(),
                 address -> dialer.seedLink(address, new SeedLinkListener(this::merge)));
-        timers.schedule(TICK_MILLISECONDS, this::tick);
+        timers.schedule(LEDGER_EXPIRY_INTERVAL_MILLISECONDS, this::expireLedger);
         log.event("node-started")
                 .with("node", self)
                 .with("incarnation", incarnation)
@@ -272,31 +274,31 @@
                 .write();
     }
 
-    private void tick() {
+    private void expireLedger() {
         target.expireLedger();
-        timers.schedule(TICK_MILLISECONDS, this::tick);
+        timers.schedule(LEDGER_EXPIRY_INTERVAL_MILLISECONDS, this::expireLedger);
     }
 
-    /** A planned stop: takes no new work, ends what was begun, and closes. */
+    /** Stops gracefully: refuses new requests, finishes open ones and closes all ports. */
     public CompletableFuture<Void> stop() {
         log.event("node-stopping").with("node", self).with("open", entry.openRequests()).write();
         target.stopAccepting();
         ports.callers().closeAfterReplies();
         boolean upstreamGone = target.upstreamTracker().isLeaving();
-        CompletableFuture<Void> left =
+        CompletableFuture<Void> recordRemoved =
                 upstreamGone ? ownRecord.remove() : CompletableFuture.completedFuture(null);
         return stop.run(
                         entry::rejectNewRequests,
-                        () -> left.isDone() && ports.callers().isIdle() && target.isIdle())
+                        () -> recordRemoved.isDone() && ports.callers().isIdle() && target.isIdle())
                 .thenRun(entry::finishAll)
-                .thenCompose(done -> laterReplies())
+                .thenCompose(done -> flushReplies())
                 .thenRun(this::close);
     }
 
-    /** Completes when the replies that were just given have been written. */
-    private CompletableFuture<Void> laterReplies() {
+    /** Completes when the last replies have had time to be written. */
+    private CompletableFuture<Void> flushReplies() {
         CompletableFuture<Void> written = new CompletableFuture<>();
-        timers.schedule(LAST_REPLIES_MILLISECONDS, () -> written.complete(null));
+        timers.schedule(FLUSH_MILLISECONDS, () -> written.complete(null));
         return written;
     }
 
@@ -309,35 +311,35 @@
 
     private Answer readiness(String path) {
         if (!path.equals(EndpointPaths.READY)) {
-            return Answer.nothingHere();
+            return Answer.notFound();
         }
         boolean ready = configuration.table().isPresent() && !stop.isRunning();
         return ready ? Answer.text(OK, "ready\n") : Answer.text(UNAVAILABLE, "not ready\n");
     }
 
     private Answer metrics(String path) {
-        return path.equals(METRICS_PATH) ? Answer.text(OK, metrics.render()) : Answer.nothingHere();
+        return path.equals(METRICS_PATH) ? Answer.text(OK, metrics.render()) : Answer.notFound();
     }
 
     private void onConfiguration(RouteTable table) {
         entry.applyRoutes(table);
-        reading.onConfiguration();
+        reader.onConfiguration();
     }
 
     private void onUpstreamChanged() {
         TargetLoad load = target.load();
         ports.links().broadcast(load);
         fleet.find(self).ifPresent(own -> own.updateLoad(load, timers.now()));
-        target.upstreamTracker().current().ifPresent(this::record);
+        target.upstreamTracker().current().ifPresent(this::publishRecord);
     }
 
-    private void record(UpstreamAnnouncement upstream) {
+    private void publishRecord(UpstreamAnnouncement upstream) {
         if (!target.upstreamTracker().isLeaving()) {
-            ownRecord.publish(ownMember.create(upstream.service().value(), upstream.slots()));
+            ownRecord.publish(recordFactory.create(upstream.service().value(), upstream.slots()));
         }
     }
 
-    private LinkHello greeting() {
+    private LinkHello createHello() {
         LinkHello.Builder hello =
                 LinkHello.newBuilder()
                         .setNodeId(self.value())
@@ -351,10 +353,10 @@
     private void merge(FleetNews news) {
         configuration.applyIfNewer(news.getConfiguration(), "peer");
         fleet.merge(news.getMembersList());
-        tellCrashes(crashes.merge(news.getCrashesList()));
+        broadcastCrashes(quarantine.merge(news.getCrashesList()));
     }
 
-    private void tellCrashes(List<QuarantineRecord> records) {
+    private void broadcastCrashes(List<QuarantineRecord> records) {
         if (records.isEmpty()) {
             return;
         }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/SeedLinkListener.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/SeedLinkListener.java
@@ -9,7 +9,9 @@
 import org.damaskmoor.schema.link.ForwardedCall;
 import org.damaskmoor.schema.link.LinkHello;
 
-/** Takes news from whichever node is at an address. Confined to the event loop. */
+/**
+ * Receives fleet news from whichever node has the address of a seed. Confined to the event loop.
+ */
 final class SeedLinkListener implements LinkListener {
     private final Consumer<FleetNews> news;
 
@@ -19,7 +21,8 @@
 
     @Override
     public CallOutcomeListener outcomeListener(NodeId target) {
-        throw new IllegalStateException("No call is sent over a link for news.");
+        throw new IllegalStateException(
+                "A link to a seed carries no calls, so it has no call outcomes.");
     }
 
     @Override
@@ -31,16 +34,16 @@
 
     @Override
     public void onUnsent(NodeId target, List<ForwardedCall> calls) {
-        // No call is sent.
+        // No call is sent over this link.
     }
 
     @Override
     public void onLinkLost(NodeId target) {
-        // Opened again when the next question is asked.
+        // The link is opened again for the next request.
     }
 
     @Override
-    public void onFleetNews(FleetNews told) {
-        news.accept(told);
+    public void onFleetNews(FleetNews received) {
+        news.accept(received);
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/SettingsFileWatcher.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/SettingsFileWatcher.java
@@ -11,15 +11,16 @@
 import org.damaskmoor.relay.internal.time.Timers;
 
 /**
- * Looks for changes of the settings file, with or without a signal.
+ * Watches the settings file, and reads it again when it changes or on SIGHUP.
  *
- * <p>Changed settings are checked and told; all of them are fixed at the start of a process, so
- * they take effect at its next one. Settings that can't be used are refused with their faults.
+ * <p>Changed settings are checked and logged, but take effect only when the process is started
+ * again, because all settings are fixed at startup. Settings that are invalid are rejected with
+ * their faults.
  *
  * <p>Confined to the event loop, but for {@link #reload}, which any thread may call.
  */
 public final class SettingsFileWatcher {
-    private static final long LOOK_MILLISECONDS = 2000;
+    private static final long CHECK_INTERVAL_MILLISECONDS = 2000;
 
     private final Path file;
     private final Timers timers;
@@ -34,11 +35,11 @@
         this.log = log;
     }
 
-    /** Begins to look. */
+    /** Starts to watch the file. */
     public void start() {
         HangUpSignal.handle(this::reload);
         changedAt = lastChange();
-        timers.schedule(LOOK_MILLISECONDS, this::look);
+        timers.schedule(CHECK_INTERVAL_MILLISECONDS, this::check);
     }
 
     /** Reads the file again. */
@@ -46,13 +47,13 @@
         timers.execute(this::read);
     }
 
-    private void look() {
-        FileTime now = lastChange();
-        if (!now.equals(changedAt)) {
-            changedAt = now;
+    private void check() {
+        FileTime modifiedAt = lastChange();
+        if (!modifiedAt.equals(changedAt)) {
+            changedAt = modifiedAt;
             read();
         }
-        timers.schedule(LOOK_MILLISECONDS, this::look);
+        timers.schedule(CHECK_INTERVAL_MILLISECONDS, this::check);
     }
 
     private FileTime lastChange() {
@@ -70,8 +71,8 @@
             boolean changed = !read.equals(inForce);
             inForce = read;
             log.event("settings-read").with("changed", changed).write();
-        } catch (SettingsException unusable) {
-            log.event("settings-rejected").with("faults", unusable.getMessage()).write();
+        } catch (SettingsException invalid) {
+            log.event("settings-rejected").with("faults", invalid.getMessage()).write();
         }
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/StoreReaderCoordinator.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/StoreReaderCoordinator.java
@@ -23,50 +23,59 @@
 import org.damaskmoor.schema.link.ReaderSign;
 
 /**
- * Decides how closely this node asks the store. Each node waits for the configuration by itself, so
- * that it is in force in time whatever becomes of others; of members one node of a data centre
- * tells the others, and each asks for itself when it hears of none.
+ * Decides how often this node polls the store. Every node watches the configuration itself, so that
+ * a change is in force in time whichever other nodes fail. Changes of members are read by one node
+ * of each data centre, the reader, which sends them to the others; a node that gets no heartbeat of
+ * a reader polls for itself.
  *
- * <p>Confined to the event loop. Invariant: a node that hears of no reader waits for changes at the
- * store by itself.
+ * <p>Confined to the event loop. Invariant: a node that gets no heartbeat of a reader waits for
+ * changes at the store itself.
  */
 final class StoreReaderCoordinator {
     /** Changes of the configuration within this time cost one call to the store. */
-    private static final long CONFIGURATION_REST_MILLISECONDS = 600;
+    private static final long CONFIGURATION_DELAY_MILLISECONDS = 600;
 
     /** Changes of members within this time cost a reader one call to the store. */
-    private static final long READER_MEMBER_REST_MILLISECONDS = 400;
+    private static final long READER_MEMBER_DELAY_MILLISECONDS = 400;
 
     /**
-     * The same for a node that hears of no reader yet: when a whole fleet starts, it joins one by
+     * The same for a node that has no reader yet: when a whole fleet starts, its nodes join one by
      * one within some seconds.
      */
-    private static final long MEMBER_REST_MILLISECONDS = 2500;
+    private static final long MEMBER_DELAY_MILLISECONDS = 2500;
 
-    /** How long an informed node leaves the store alone; less than the store keeps its history. */
-    private static final long INFORMED_REST_MILLISECONDS = 12_000;
+    /**
+     * Poll delay of a node that is informed by a reader; shorter than the store keeps its history.
+     */
+    private static final long INFORMED_DELAY_MILLISECONDS = 12_000;
 
-    private static final long INFORMED_REST_SPREAD_MILLISECONDS = 4000;
+    private static final long INFORMED_DELAY_JITTER_MILLISECONDS = 4000;
 
-    /** Pause after a first failure; doubles with each further one up to the longest. */
-    private static final long FIRST_PAUSE_MILLISECONDS = 300;
+    /** Backoff after the first failure; doubles with each further one up to the maximum. */
+    private static final long FIRST_BACKOFF_MILLISECONDS = 300;
 
-    private static final int MOST_DOUBLINGS = 4;
+    private static final int MAX_DOUBLINGS = 4;
 
-    /** Longest pause of a node that has to find out by itself that the store is back. */
-    private static final long LONGEST_PAUSE_MILLISECONDS = 1200;
+    /** Longest backoff of a node that must detect by itself that the store answers again. */
+    private static final long MAX_BACKOFF_MILLISECONDS = 1200;
 
-    /** Pause of a table beside another one whose return is awaited. */
-    private static final long SECOND_TABLE_PAUSE_MILLISECONDS = 8000;
+    /**
+     * Backoff of the members table while polls of the configuration table detect that the store
+     * answers again.
+     */
+    private static final long SECOND_TABLE_BACKOFF_MILLISECONDS = 8000;
 
-    /** Nodes of each other data centre that get signs: two, so that one may be lost. */
-    private static final int SIGNS_ELSEWHERE = 2;
+    /** Nodes of each other data centre that get heartbeats: two, so that one may be lost. */
+    private static final int HEARTBEATS_PER_OTHER_DATA_CENTRE = 2;
 
-    /** Time in which a node learns of a configuration by itself, its rest included. */
-    private static final long OWN_NEWS_MILLISECONDS = 900;
+    /**
+     * Time for a node to read a new configuration from the store itself, including its poll delay,
+     * before it asks a peer.
+     */
+    private static final long CONFIGURATION_GRACE_MILLISECONDS = 900;
 
-    /** Nodes that learn at once that the store is back ask it within this time. */
-    private static final long RETURN_SPREAD_MILLISECONDS = 400;
+    /** Jitter of the polls of nodes that learn at the same time that the store answers again. */
+    private static final long STORE_RETURN_JITTER_MILLISECONDS = 400;
 
     private final NodeId self;
     private final ReaderElection election;
@@ -74,8 +83,8 @@
     private final ConfigurationHolder configuration;
     private final BooleanSupplier storeLost;
     private final BooleanSupplier configurationLost;
-    private final Runnable askStoreNow;
-    private final Runnable suspectStore;
+    private final Runnable pollStoreNow;
+    private final Runnable rereadStore;
     private final Timers timers;
     private final RandomGenerator random;
     private final EventLog log;
@@ -88,8 +97,8 @@
             ConfigurationHolder configuration,
             BooleanSupplier storeLost,
             BooleanSupplier configurationLost,
-            Runnable askStoreNow,
-            Runnable suspectStore,
+            Runnable pollStoreNow,
+            Runnable rereadStore,
             Timers timers,
             RandomGenerator random,
             EventLog log) {
@@ -99,29 +108,31 @@
         this.configuration = configuration;
         this.storeLost = storeLost;
         this.configurationLost = configurationLost;
-        this.askStoreNow = askStoreNow;
-        this.suspectStore = suspectStore;
+        this.pollStoreNow = pollStoreNow;
+        this.rereadStore = rereadStore;
         this.timers = timers;
         this.random = random;
         this.log = log;
     }
 
-    /** Begins to send signs, or to notice that none come. */
+    /**
+     * Checks from now on at intervals whether this node is the reader, and sends its heartbeats.
+     */
     void start() {
-        boolean reads = isReader();
-        if (reads != reader) {
-            reader = reads;
-            log.event("store-reader").with("reads", reads).write();
-            tellAll();
+        boolean isReaderNow = isReader();
+        if (isReaderNow != reader) {
+            reader = isReaderNow;
+            log.event("store-reader").with("reads", isReaderNow).write();
+            sendAllMembers();
         }
-        if (reads) {
-            sendSigns(fleet::isInRegion);
+        if (isReaderNow) {
+            sendHeartbeats(fleet::isInRegion);
         }
-        noteInformed();
+        updateInformed();
         timers.schedule(ReaderElection.PERIOD_MILLISECONDS, this::start);
     }
 
-    /** A reader sent a sign. */
+    /** A reader sent its heartbeat. */
     void onReaderSign(ReaderSign sign) {
         if (sign.getNodeId().isEmpty()) {
             return;
@@ -129,64 +140,65 @@
         NodeId sender = new NodeId(sign.getNodeId());
         if (fleet.find(sender).map(fleet::isInRegion).orElse(true)) {
             election.onHeartbeat(sender, sign.getStoreAnswers(), timers.now());
-            noteInformed();
+            updateInformed();
         }
         if (sign.getConfigurationVersion() > configuration.version()) {
-            timers.schedule(OWN_NEWS_MILLISECONDS, () -> askForConfiguration(sender, sign));
+            timers.schedule(
+                    CONFIGURATION_GRACE_MILLISECONDS, () -> requestConfiguration(sender, sign));
         }
     }
 
-    /** A newer configuration is in force here. */
+    /** A newer configuration was put in force at this node. */
     void onConfiguration() {
         if (isReader()) {
-            sendSigns(target -> true);
+            sendHeartbeats(target -> true);
         }
     }
 
-    /** Tells what the former reader may have missed, this node's own record included. */
-    private void tellAll() {
+    /** Sends all members including this node, because the previous reader may have missed some. */
+    private void sendAllMembers() {
         FleetNews.Builder news = FleetNews.newBuilder();
         fleet.all().forEach(target -> news.addMembers(target.member()));
         sendToDataCentre(news.build());
     }
 
-    /** Tells the data centre, if this node reads for it. */
+    /** Sends news to the nodes of this data centre, if this node is its reader. */
     void sendToDataCentre(FleetNews news) {
         if (isReader()) {
             fleet.inDataCentre().forEach(target -> target.link().send(news));
         }
     }
 
-    /** How closely the configuration is asked for. */
-    TableWatch.Pace configurationPace() {
-        return new TableWatch.Pace() {
+    /** How often the configuration is polled. */
+    TableWatch.PollPolicy configurationPolicy() {
+        return new TableWatch.PollPolicy() {
             @Override
-            public long restMilliseconds() {
-                return CONFIGURATION_REST_MILLISECONDS;
+            public long pollDelayMilliseconds() {
+                return CONFIGURATION_DELAY_MILLISECONDS;
             }
 
             @Override
-            public long pauseMilliseconds(int failures) {
-                return pause(failures);
+            public long backoffMilliseconds(int failures) {
+                return backoff(failures);
             }
         };
     }
 
-    /** How closely members are asked for. */
-    TableWatch.Pace memberPace() {
-        return new TableWatch.Pace() {
+    /** How often members are polled. */
+    TableWatch.PollPolicy memberPolicy() {
+        return new TableWatch.PollPolicy() {
             @Override
-            public long restMilliseconds() {
+            public long pollDelayMilliseconds() {
                 if (isInformed()) {
-                    return informedRest();
+                    return informedDelay();
                 }
-                return reader ? READER_MEMBER_REST_MILLISECONDS : MEMBER_REST_MILLISECONDS;
+                return reader ? READER_MEMBER_DELAY_MILLISECONDS : MEMBER_DELAY_MILLISECONDS;
             }
 
             @Override
-            public long pauseMilliseconds(int failures) {
-                boolean awaited = configurationLost.getAsBoolean();
-                return awaited ? SECOND_TABLE_PAUSE_MILLISECONDS : pause(failures);
+            public long backoffMilliseconds(int failures) {
+                boolean configurationAwaited = configurationLost.getAsBoolean();
+                return configurationAwaited ? SECOND_TABLE_BACKOFF_MILLISECONDS : backoff(failures);
             }
         };
     }
@@ -195,13 +207,13 @@
         return !reader && election.hasHealthyReader(timers.now());
     }
 
-    private long informedRest() {
-        return INFORMED_REST_MILLISECONDS + random.nextLong(INFORMED_REST_SPREAD_MILLISECONDS);
+    private long informedDelay() {
+        return INFORMED_DELAY_MILLISECONDS + random.nextLong(INFORMED_DELAY_JITTER_MILLISECONDS);
     }
 
-    private static long pause(int failures) {
-        long doubled = FIRST_PAUSE_MILLISECONDS << Math.min(failures - 1, MOST_DOUBLINGS);
-        return Math.min(doubled, LONGEST_PAUSE_MILLISECONDS);
+    private static long backoff(int failures) {
+        long doubled = FIRST_BACKOFF_MILLISECONDS << Math.min(failures - 1, MAX_DOUBLINGS);
+        return Math.min(doubled, MAX_BACKOFF_MILLISECONDS);
     }
 
     private boolean isReader() {
@@ -213,22 +225,22 @@
         return election.isReader(dataCentre, timers.now());
     }
 
-    private void noteInformed() {
-        boolean former = informed;
+    private void updateInformed() {
+        boolean wasInformed = informed;
         informed = election.hasHealthyReader(timers.now());
-        if (former != informed) {
+        if (wasInformed != informed) {
             log.event("store-informed").with("by_reader", informed).write();
         }
-        if (former && !informed) {
-            askStoreNow.run();
-        } else if (!former && informed && storeLost.getAsBoolean()) {
-            timers.schedule(random.nextLong(RETURN_SPREAD_MILLISECONDS), askStoreNow);
+        if (wasInformed && !informed) {
+            pollStoreNow.run();
+        } else if (!wasInformed && informed && storeLost.getAsBoolean()) {
+            timers.schedule(random.nextLong(STORE_RETURN_JITTER_MILLISECONDS), pollStoreNow);
         }
     }
 
-    private void askForConfiguration(NodeId sender, ReaderSign sign) {
+    private void requestConfiguration(NodeId sender, ReaderSign sign) {
         if (sign.getConfigurationVersion() > configuration.version()) {
-            suspectStore.run();
+            rereadStore.run();
             FleetRequest request =
                     FleetRequest.newBuilder()
                             .setConfigurationVersion(configuration.version())
@@ -238,8 +250,11 @@
         }
     }
 
-    /** Other regions hear of changes only: bytes between regions are dear. */
-    private void sendSigns(Predicate<FleetTarget> elsewhere) {
+    /**
+     * Sends heartbeats; other regions get them only on changes, because traffic between regions is
+     * expensive.
+     */
+    private void sendHeartbeats(Predicate<FleetTarget> otherDataCentreFilter) {
         ReaderSign sign =
                 ReaderSign.newBuilder()
                         .setNodeId(self.value())
@@ -247,11 +262,13 @@
                         .setStoreAnswers(!storeLost.getAsBoolean())
                         .build();
         fleet.inDataCentre().forEach(target -> target.link().send(sign));
-        firstOfEachOther().stream().filter(elsewhere).forEach(target -> target.link().send(sign));
+        likelyReadersElsewhere().stream()
+                .filter(otherDataCentreFilter)
+                .forEach(target -> target.link().send(sign));
     }
 
-    /** The nodes of the other data centres that are most likely to be their readers. */
-    private Collection<FleetTarget> firstOfEachOther() {
+    /** The nodes of each other data centre that are most likely to be its reader. */
+    private Collection<FleetTarget> likelyReadersElsewhere() {
         Map<String, List<FleetTarget>> byDataCentre = new HashMap<>();
         for (FleetTarget target : fleet.inOtherDataCentres()) {
             byDataCentre
@@ -261,7 +278,8 @@
         List<FleetTarget> first = new ArrayList<>();
         for (List<FleetTarget> targets : byDataCentre.values()) {
             targets.sort(Comparator.comparingLong(t -> StableHash.of(t.node().value())));
-            first.addAll(targets.subList(0, Math.min(SIGNS_ELSEWHERE, targets.size())));
+            first.addAll(
+                    targets.subList(0, Math.min(HEARTBEATS_PER_OTHER_DATA_CENTRE, targets.size())));
         }
         return first;
     }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/caller/CallerConnection.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/caller/CallerConnection.java
@@ -25,34 +25,34 @@
 import org.damaskmoor.schema.mesh.HeaderField;
 
 /**
- * One connection of a caller.
+ * A connection of a caller.
  *
  * <p>Confined to the event loop. Invariants: one request is served at a time, in the order of
- * arrival, so that a reply reaches only its own request; what can't be read is refused and the
- * connection closed, so that its rest is not taken for a request; a caller that leaves is noticed
- * while its request is served.
+ * arrival, so that a reply reaches only its own request; a malformed request is refused and the
+ * connection closed, so that the rest of it is not taken for a request; a disconnect of the caller
+ * is noticed while its request is served.
  */
 final class CallerConnection extends ChannelInboundHandlerAdapter {
     private static final int BAD_REQUEST = 400;
-    private static final int TIMEOUT = 408;
+    private static final int REQUEST_TIMEOUT = 408;
     private static final int TOO_LARGE = 413;
     private static final int HEADERS_TOO_LARGE = 431;
     private static final int NO_CONTENT = 204;
     private static final int NOT_MODIFIED = 304;
-    private static final int EXPECTATION = 100;
+    private static final int CONTINUE = 100;
 
     private final CallerServer server;
-    private final ArrayDeque<HttpObject> behind = new ArrayDeque<>();
+    private final ArrayDeque<HttpObject> pipelined = new ArrayDeque<>();
     private ChannelHandlerContext context;
     private HttpRequest head;
     private ByteString.Output body;
     private long headAt;
-    private long quietSince;
+    private long idleSince;
     private boolean serving;
-    private boolean headRequest;
+    private boolean isHeadRequest;
     private boolean keepAlive = true;
     private boolean closing;
-    private Runnable onGone = () -> {};
+    private Runnable onDisconnect = () -> {};
 
     CallerConnection(CallerServer server) {
         this.server = server;
@@ -61,7 +61,7 @@
     @Override
     public void channelActive(ChannelHandlerContext active) {
         context = active;
-        quietSince = server.now();
+        idleSince = server.now();
         server.opened(this);
     }
 
@@ -71,7 +71,7 @@
         if (closing) {
             ReferenceCountUtil.release(object);
         } else if (serving) {
-            behind.addLast(object);
+            pipelined.addLast(object);
             active.channel().config().setAutoRead(false);
         } else {
             read(object);
@@ -109,7 +109,7 @@
         } else if (HttpUtil.is100ContinueExpected(request)) {
             context.writeAndFlush(
                     new DefaultFullHttpResponse(
-                            HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(EXPECTATION)));
+                            HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(CONTINUE)));
         }
     }
 
@@ -130,14 +130,17 @@
         HttpRequest request = head;
         head = null;
         serving = true;
-        headRequest = request.method().name().equals("HEAD");
+        isHeadRequest = request.method().name().equals("HEAD");
         String id = request.headers().get(HeaderNames.REQUEST_ID, "");
         String host = request.headers().get(HttpHeaderNames.HOST, "");
         if (id.isEmpty() || host.isEmpty()) {
-            reply(CallerReply.ofText(BAD_REQUEST, "The request must have a host and an id."), id);
+            reply(
+                    CallerReply.ofText(
+                            BAD_REQUEST, "The request must have a Host header and a request id."),
+                    id);
             return;
         }
-        CallerRequest whole =
+        CallerRequest callerRequest =
                 new CallerRequest(
                         id,
                         request.method().name(),
@@ -145,26 +148,26 @@
                         request.uri(),
                         ForwardedHeaders.ofRequest(request.headers()),
                         body.toByteString(),
-                        patience(request),
+                        timeoutMilliseconds(request),
                         headAt);
         body = null;
-        onGone = server.handler().handle(whole, reply -> reply(reply, id));
+        onDisconnect = server.handler().handle(callerRequest, reply -> reply(reply, id));
     }
 
-    private static long patience(HttpRequest request) {
+    private static long timeoutMilliseconds(HttpRequest request) {
         String text = request.headers().get(HeaderNames.REMAINING_MILLISECONDS);
         if (text == null) {
             return 0;
         }
         try {
             return Math.max(1, Long.parseLong(text.trim()));
-        } catch (NumberFormatException unreadable) {
+        } catch (NumberFormatException invalid) {
             return 0;
         }
     }
 
     private void reply(CallerReply reply, String id) {
-        onGone = () -> {};
+        onDisconnect = () -> {};
         if (!context.channel().isActive()) {
             return;
         }
@@ -176,12 +179,12 @@
         }
         closing = close;
         serving = false;
-        quietSince = server.now();
+        idleSince = server.now();
         var written = context.writeAndFlush(response);
         if (close) {
             written.addListener(ChannelFutureListener.CLOSE);
-        } else if (!behind.isEmpty()) {
-            server.execute(this::readBehind);
+        } else if (!pipelined.isEmpty()) {
+            server.execute(this::readPipelined);
         }
     }
 
@@ -190,7 +193,7 @@
                 new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1,
                         HttpResponseStatus.valueOf(reply.status()),
-                        headRequest
+                        isHeadRequest
                                 ? Unpooled.EMPTY_BUFFER
                                 : Unpooled.wrappedBuffer(reply.body().asReadOnlyByteBuffer()));
         for (HeaderField field : reply.headers()) {
@@ -202,27 +205,33 @@
         return response;
     }
 
-    private void readBehind() {
-        while (!behind.isEmpty() && !serving && !closing) {
-            read(behind.pollFirst());
+    private void readPipelined() {
+        while (!pipelined.isEmpty() && !serving && !closing) {
+            read(pipelined.pollFirst());
         }
-        if (behind.isEmpty() && !closing) {
+        if (pipelined.isEmpty() && !closing) {
             context.channel().config().setAutoRead(true);
         }
     }
 
-    /** Refuses what can't be read, and closes. */
+    /** Refuses a malformed, too large or too slow request and closes the connection. */
     private void refuse(int status) {
         head = null;
         closing = true;
         server.countMalformed(status);
         FullHttpResponse response =
-                response(CallerReply.ofText(status, "The request was not read."));
+                response(
+                        CallerReply.ofText(
+                                status,
+                                "The request was rejected: malformed, too large or too slow."));
         response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
     }
 
-    /** Ends what takes too long to arrive, and connections that are idle for too long. */
+    /**
+     * Refuses a request that takes too long to arrive, and closes a connection that is idle for too
+     * long.
+     */
     void checkTimeouts(long now, CallerLimits limits) {
         if (serving || closing) {
             return;
@@ -230,9 +239,9 @@
         if (head != null) {
             if (now - headAt
                     > limits.headerTimeoutMilliseconds() + limits.idleTimeoutMilliseconds()) {
-                refuse(TIMEOUT);
+                refuse(REQUEST_TIMEOUT);
             }
-        } else if (now - quietSince > limits.idleTimeoutMilliseconds()) {
+        } else if (now - idleSince > limits.idleTimeoutMilliseconds()) {
             context.close();
         }
     }
@@ -249,10 +258,10 @@
     @Override
     public void channelInactive(ChannelHandlerContext inactive) {
         server.closed(this);
-        behind.forEach(ReferenceCountUtil::release);
-        behind.clear();
-        onGone.run();
-        onGone = () -> {};
+        pipelined.forEach(ReferenceCountUtil::release);
+        pipelined.clear();
+        onDisconnect.run();
+        onDisconnect = () -> {};
     }
 
     @Override
--- a/relay/src/main/java/org/damaskmoor/relay/internal/caller/CallerHandler.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/caller/CallerHandler.java
@@ -2,14 +2,14 @@
 
 import java.util.function.Consumer;
 
-/** Leads whole requests to their replies. Confined to the event loop. */
+/** Handles complete requests of callers. Confined to the event loop. */
 @FunctionalInterface
 public interface CallerHandler {
     /**
-     * Serves a request.
+     * Handles a request.
      *
      * @param reply takes the reply, once
-     * @return to be run when the caller leaves before the reply
+     * @return to be run if the caller disconnects before the reply
      */
     Runnable handle(CallerRequest request, Consumer<CallerReply> reply);
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/caller/CallerReply.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/caller/CallerReply.java
@@ -7,21 +7,21 @@
 import org.damaskmoor.schema.mesh.HeaderField;
 
 /**
- * What a caller gets. Immutable and thread-safe.
+ * The reply to a caller. Immutable and thread-safe.
  *
  * @param status HTTP status
- * @param headers headers without those of the connection
+ * @param headers headers other than those of the connection
  * @param body its body
  */
 public record CallerReply(int status, List<HeaderField> headers, ByteString body) {
     private static final double MILLISECONDS_PER_SECOND = 1000;
 
-    /** A reply of this node's own, with a short text. */
+    /** A reply that this node itself makes, with a short text. */
     public static CallerReply ofText(int status, String text) {
         return new CallerReply(status, List.of(), ByteString.copyFromUtf8(text + "\n"));
     }
 
-    /** Tells that the request has not run and never will, and when to come again. */
+    /** A reply that the request was not run and never will be, and when to retry. */
     public static CallerReply notRun(String reason, long retryAfterMilliseconds) {
         String seconds =
                 String.format(
--- a/relay/src/main/java/org/damaskmoor/relay/internal/caller/CallerRequest.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/caller/CallerRequest.java
@@ -5,15 +5,15 @@
 import org.damaskmoor.schema.mesh.HeaderField;
 
 /**
- * A whole request of a caller. Immutable and thread-safe.
+ * A complete request of a caller. Immutable and thread-safe.
  *
  * @param id the caller's own id of this attempt
  * @param method its method
  * @param host its host, with or without a port
  * @param target path and query as they were sent
- * @param headers the headers that the upstream gets
+ * @param headers the headers that are passed on to the upstream
  * @param body its body
- * @param patienceMilliseconds how long the caller waits; 0 when it did not say
+ * @param timeoutMilliseconds how long the caller waits; 0 if it did not say
  * @param arrivedAt when its first byte was read, in milliseconds of the monotonic clock
  */
 public record CallerRequest(
@@ -23,7 +23,7 @@
         String target,
         List<HeaderField> headers,
         ByteString body,
-        long patienceMilliseconds,
+        long timeoutMilliseconds,
         long arrivedAt) {
 
     /** The path without its query. */
--- a/relay/src/main/java/org/damaskmoor/relay/internal/caller/CallerServer.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/caller/CallerServer.java
@@ -19,10 +19,10 @@
 import org.damaskmoor.relay.internal.net.PortBinder;
 import org.damaskmoor.relay.internal.time.Timers;
 
-/** The port for callers. Confined to the event loop. */
+/** The HTTP server for callers. Confined to the event loop. */
 public final class CallerServer {
-    /** How often connections are looked at for those that are idle or slow. */
-    private static final long LOOK_MILLISECONDS = 1000;
+    /** How often connections are checked for those that are idle or slow. */
+    private static final long TIMEOUT_CHECK_INTERVAL_MILLISECONDS = 1000;
 
     private static final int BACKLOG = 1024;
 
@@ -31,15 +31,15 @@
     private final Timers timers;
     private final Supplier<CallerLimits> limits;
     private final CallerHandler handler;
-    private final IntConsumer malformed;
+    private final IntConsumer onMalformed;
     private final Set<CallerConnection> connections = new HashSet<>();
-    private Channel listening;
+    private Channel serverChannel;
     private boolean closing;
 
     /**
      * Creates a server that does not listen yet.
      *
-     * @param malformed hears of each request that could not be read, with the status it got
+     * @param onMalformed receives the reply status of each request that could not be read
      */
     public CallerServer(
             EventLoop loop,
@@ -47,18 +47,18 @@
             Timers timers,
             Supplier<CallerLimits> limits,
             CallerHandler handler,
-            IntConsumer malformed) {
+            IntConsumer onMalformed) {
         this.loop = loop;
         this.address = address;
         this.timers = timers;
         this.limits = limits;
         this.handler = handler;
-        this.malformed = malformed;
+        this.onMalformed = onMalformed;
     }
 
     /** Opens the port. */
     public CompletableFuture<Void> start() {
-        timers.schedule(LOOK_MILLISECONDS, this::look);
+        timers.schedule(TIMEOUT_CHECK_INTERVAL_MILLISECONDS, this::checkTimeouts);
         ServerBootstrap bootstrap =
                 new ServerBootstrap()
                         .group(loop)
@@ -73,7 +73,7 @@
                                         initialize(channel);
                                     }
                                 });
-        return PortBinder.bind(bootstrap, address, channel -> listening = channel);
+        return PortBinder.bind(bootstrap, address, channel -> serverChannel = channel);
     }
 
     private void initialize(Channel channel) {
@@ -85,7 +85,7 @@
         channel.pipeline().addLast(new HttpServerCodec(config), new CallerConnection(this));
     }
 
-    /** Tells callers from now on, with each reply, to connect elsewhere. */
+    /** Closes each connection after its next reply, so that callers connect elsewhere. */
     public void closeAfterReplies() {
         closing = true;
     }
@@ -97,19 +97,19 @@
 
     /** Closes the port and all connections. */
     public void stop() {
-        if (listening != null) {
-            listening.close();
+        if (serverChannel != null) {
+            serverChannel.close();
         }
         List.copyOf(connections).forEach(CallerConnection::close);
     }
 
-    private void look() {
+    private void checkTimeouts() {
         long now = timers.now();
         CallerLimits inForce = limits.get();
         for (CallerConnection connection : List.copyOf(connections)) {
             connection.checkTimeouts(now, inForce);
         }
-        timers.schedule(LOOK_MILLISECONDS, this::look);
+        timers.schedule(TIMEOUT_CHECK_INTERVAL_MILLISECONDS, this::checkTimeouts);
     }
 
     void opened(CallerConnection connection) {
@@ -129,7 +129,7 @@
     }
 
     void countMalformed(int status) {
-        malformed.accept(status);
+        onMalformed.accept(status);
     }
 
     boolean isClosing() {
--- a/relay/src/main/java/org/damaskmoor/relay/internal/control/AnnouncementEndpoint.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/control/AnnouncementEndpoint.java
@@ -11,11 +11,11 @@
 import org.damaskmoor.relay.internal.target.TargetCallHandler;
 
 /**
- * Takes what the upstream says of itself. Confined to the event loop.
+ * Serves the announcements and deregistrations of the upstream. Confined to the event loop.
  *
- * <p>Invariant: an announcement is acknowledged only after it is in force.
+ * <p>Invariant: an announcement is acknowledged only after it has taken effect.
  */
-public final class AnnouncementEndpoint implements ControlHttpServer.Answerer {
+public final class AnnouncementEndpoint implements ControlHttpServer.RequestHandler {
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
 
@@ -28,7 +28,7 @@
     }
 
     @Override
-    public Answer answer(String method, String path, String body) {
+    public Answer handle(String method, String path, String body) {
         Optional<UpstreamId> announcing = EndpointPaths.announcedUpstream(path);
         Optional<UpstreamId> leaving = EndpointPaths.deregisteredUpstream(path);
         try {
@@ -41,13 +41,13 @@
                 target.onDeregistration(leaving.get(), born);
                 return Answer.json(OK, "{}");
             }
-        } catch (MalformedMessageException unreadable) {
+        } catch (MalformedMessageException invalid) {
             log.event("announcement-unreadable")
                     .with("path", path)
-                    .with("cause", unreadable.getMessage())
+                    .with("cause", invalid.getMessage())
                     .write();
-            return Answer.text(BAD_REQUEST, unreadable.getMessage() + "\n");
+            return Answer.text(BAD_REQUEST, invalid.getMessage() + "\n");
         }
-        return Answer.nothingHere();
+        return Answer.notFound();
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/control/ControlHttpServer.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/control/ControlHttpServer.java
@@ -25,26 +25,27 @@
 import org.damaskmoor.relay.internal.net.PortBinder;
 
 /**
- * A port for short questions: readiness, announcements, metrics. Confined to the event loop.
+ * An HTTP server for short requests: readiness, announcements, metrics. Confined to the event loop.
  *
- * <p>Invariant: each request gets one answer; longer bodies than a few kilobytes are refused.
+ * <p>Invariant: each request gets one answer; a body of more than {@link #MAX_BODY_BYTES} is
+ * refused.
  */
 public final class ControlHttpServer {
-    private static final int MOST_BODY_BYTES = 64 * 1024;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
 
     private final EventLoop loop;
     private final InetSocketAddress address;
-    private final Answerer answerer;
-    private Channel listening;
+    private final RequestHandler handler;
+    private Channel serverChannel;
 
-    /** Answers a request. */
+    /** Handles a request. */
     @FunctionalInterface
-    public interface Answerer {
-        Answer answer(String method, String path, String body);
+    public interface RequestHandler {
+        Answer handle(String method, String path, String body);
     }
 
     /**
-     * An answer. Immutable and thread-safe.
+     * An answer to a request. Immutable and thread-safe.
      *
      * @param status HTTP status
      * @param contentType type of the body
@@ -52,26 +53,26 @@
     public record Answer(int status, String contentType, String body) {
         private static final int NOT_FOUND = 404;
 
-        /** Plain text. */
+        /** An answer with plain text. */
         public static Answer text(int status, String body) {
             return new Answer(status, "text/plain", body);
         }
 
-        /** JSON. */
+        /** An answer with JSON. */
         public static Answer json(int status, String body) {
             return new Answer(status, "application/json", body);
         }
 
-        /** Nothing is here. */
-        public static Answer nothingHere() {
-            return text(NOT_FOUND, "There is nothing here.\n");
+        /** The answer for an unknown path. */
+        public static Answer notFound() {
+            return text(NOT_FOUND, "Not found.\n");
         }
     }
 
-    public ControlHttpServer(EventLoop loop, InetSocketAddress address, Answerer answerer) {
+    public ControlHttpServer(EventLoop loop, InetSocketAddress address, RequestHandler handler) {
         this.loop = loop;
         this.address = address;
-        this.answerer = answerer;
+        this.handler = handler;
     }
 
     /** Opens the port. */
@@ -89,25 +90,25 @@
                                         channel.pipeline()
                                                 .addLast(
                                                         new HttpServerCodec(),
-                                                        new HttpObjectAggregator(MOST_BODY_BYTES),
-                                                        new Handler());
+                                                        new HttpObjectAggregator(MAX_BODY_BYTES),
+                                                        new ServerHandler());
                                     }
                                 });
-        return PortBinder.bind(bootstrap, address, channel -> listening = channel);
+        return PortBinder.bind(bootstrap, address, channel -> serverChannel = channel);
     }
 
     /** Closes the port. */
     public void stop() {
-        if (listening != null) {
-            listening.close();
+        if (serverChannel != null) {
+            serverChannel.close();
         }
     }
 
-    private final class Handler extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class ServerHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             Answer answer =
-                    answerer.answer(
+                    handler.handle(
                             request.method().name(),
                             request.uri(),
                             request.content().toString(StandardCharsets.UTF_8));
--- a/relay/src/main/java/org/damaskmoor/relay/internal/entry/EntryContext.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/entry/EntryContext.java
@@ -10,15 +10,16 @@
 import org.damaskmoor.relay.internal.time.Timers;
 
 /**
- * What the requests of an entry share. Immutable; its parts are confined to the event loop.
+ * Dependencies that all requests of an entry share. Immutable; its parts are confined to the event
+ * loop.
  *
- * @param service the service beside which requests begin here
+ * @param service service of this VM's upstream, sent as the caller service of each call
  */
 public record EntryContext(
         ServiceName service,
         FleetDirectory fleet,
         TargetChooser chooser,
-        RouteStatistics usualWork,
+        RouteStatistics statistics,
         RetryBudgets budgets,
         Timers timers,
         RandomGenerator random,
--- a/relay/src/main/java/org/damaskmoor/relay/internal/entry/EntryExchange.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/entry/EntryExchange.java
@@ -36,32 +36,32 @@
  *
  * <p>Performs the actions of its {@link EntryCall}: chooses targets, sends, seals and cancels.
  *
- * <p>Confined to the event loop. Invariant: the caller gets one reply, or none when it is gone.
+ * <p>Confined to the event loop. Invariant: the caller gets one reply, or none if it disconnects.
  */
 final class EntryExchange {
-    /** Longest time for a request whose caller and route name none, in milliseconds. */
-    private static final long DEFAULT_PATIENCE_MILLISECONDS = 30_000;
+    /** Timeout of a request for which neither the caller nor the route sets one. */
+    private static final long DEFAULT_TIMEOUT_MILLISECONDS = 30_000;
 
-    /** Times that a request is sent back by full targets before it waits at one. */
-    private static final int MOST_SENT_BACK = 2;
+    /** Refusals by full targets after which the next target is asked to queue the call. */
+    private static final int MAX_FULL_REFUSALS = 2;
 
-    /** Times that a request is sent on after it certainly did not reach an upstream. */
-    private static final int MOST_UNREACHED = 6;
+    /** Retries of attempts that certainly reached no upstream; they need no retry budget. */
+    private static final int MAX_UNREACHED = 6;
 
-    /** Longest wait for word about a call that was lost on its way, in milliseconds. */
+    /** Longest wait for the result of sealing an attempt whose link was lost. */
     private static final long SEAL_TIMEOUT_MILLISECONDS = 1500;
 
-    /** Pause of a target that can't be reached, in milliseconds. */
-    private static final long UNREACHABLE_MILLISECONDS = 500;
+    /** Time for which an unreachable target is not chosen again. */
+    private static final long UNREACHABLE_BACKOFF_MILLISECONDS = 500;
 
-    /** When a caller may come again if no target has told when room is expected. */
-    private static final long USUAL_RETRY_AFTER_MILLISECONDS = 250;
+    /** Retry-After if no target has said when it expects free capacity. */
+    private static final long DEFAULT_RETRY_AFTER_MILLISECONDS = 250;
 
-    /** Least time to the objective that placement goes by, once the objective has passed. */
-    private static final double LEAST_OBJECTIVE_MILLISECONDS = 50;
+    /** Least time to the objective that placement assumes, also once it has passed. */
+    private static final double MIN_OBJECTIVE_MILLISECONDS = 50;
 
-    /** Headers of a call and framing of both ways, in bytes. */
-    private static final int USUAL_HEAD_BYTES = 300;
+    /** Typical size of a call's headers plus framing in both directions. */
+    private static final int TYPICAL_HEADER_BYTES = 300;
 
     private static final double BYTES_PER_KILOBYTE = 1000;
     private static final int FIRST_SERVER_ERROR = 500;
@@ -74,20 +74,20 @@
     private final ServiceName service;
     private final EntryContext context;
     private final ExchangeReplySender replies;
-    private final ForwardedCallFactory frames;
-    private final Consumer<EntryExchange> finished;
+    private final ForwardedCallFactory calls;
+    private final Consumer<EntryExchange> onFinished;
     private final EntryCall call;
     private final FleetRetryBudget budget;
     private final Map<Integer, SentAttempt> attempts = new HashMap<>();
-    private final Set<NodeId> tried = new HashSet<>();
-    private final long limitAt;
+    private final Set<NodeId> triedNodes = new HashSet<>();
+    private final long deadline;
     private final Timers.Cancellation deadlineTimer;
     private ForwardedAnswer answer;
-    private int atUpstream;
-    private int sentBack;
-    private int unreached;
-    private boolean needsBudget;
-    private long retryAfterMilliseconds = USUAL_RETRY_AFTER_MILLISECONDS;
+    private int upstreamAttempts;
+    private int fullRefusals;
+    private int unreachedAttempts;
+    private boolean needsRetryBudget;
+    private long retryAfterMilliseconds = DEFAULT_RETRY_AFTER_MILLISECONDS;
 
     EntryExchange(
             RequestId id,
@@ -96,37 +96,40 @@
             ServiceName service,
             EntryContext context,
             Consumer<CallerReply> reply,
-            Consumer<EntryExchange> finished) {
+            Consumer<EntryExchange> onFinished) {
         this.id = id;
         this.request = request;
         this.route = route;
         this.service = service;
         this.context = context;
         this.replies = new ExchangeReplySender(request, route, service, context, reply);
-        this.finished = finished;
+        this.onFinished = onFinished;
         this.call = EntryCall.of(id, !route.idempotent());
         this.budget = context.budgets().of(service);
-        this.limitAt = request.arrivedAt() + patience();
-        this.frames =
-                new ForwardedCallFactory(id.sequence(), request, route, service, context, limitAt);
+        this.deadline = request.arrivedAt() + requestTimeout();
+        this.calls =
+                new ForwardedCallFactory(id.sequence(), request, route, service, context, deadline);
         this.deadlineTimer =
-                context.timers().schedule(limitAt - now(), () -> perform(call.deadline()));
+                context.timers().schedule(deadline - now(), () -> perform(call.deadline()));
     }
 
-    private long patience() {
-        long patience = DEFAULT_PATIENCE_MILLISECONDS;
-        if (request.patienceMilliseconds() > 0) {
-            patience = request.patienceMilliseconds();
+    private long requestTimeout() {
+        long callerTimeout = DEFAULT_TIMEOUT_MILLISECONDS;
+        if (request.timeoutMilliseconds() > 0) {
+            callerTimeout = request.timeoutMilliseconds();
         }
-        long timeout = route.timeoutMilliseconds();
-        return timeout > 0 ? Math.min(timeout, patience) : patience;
+        long routeTimeout = route.timeoutMilliseconds();
+        return routeTimeout > 0 ? Math.min(routeTimeout, callerTimeout) : callerTimeout;
     }
 
     void start() {
         budget.onRequest(now());
-        if (context.usualWork().isDeadlineTooShort(route.name(), (double) (limitAt - now()))) {
+        if (context.statistics().isDeadlineTooShort(route.name(), (double) (deadline - now()))) {
             replies.sendNotRun(
-                    RefusalReason.DEADLINE_TOO_SHORT, retryAfterMilliseconds, tried, sentBack);
+                    RefusalReason.DEADLINE_TOO_SHORT,
+                    retryAfterMilliseconds,
+                    triedNodes,
+                    fullRefusals);
             call.callerDisconnected();
             release();
             return;
@@ -147,25 +150,25 @@
         attempt.target.estimate().onOutcome(failed, now());
         attempt.target.updateLoad(received.getLoad(), now());
         if (!failed) {
-            context.usualWork()
+            context.statistics()
                     .onAnswered(
                             route.name(),
                             received.getUpstreamMilliseconds(),
                             received.getSlownessPercent() / PERCENT,
                             (received.getSerializedSize()
                                             + request.body().size()
-                                            + USUAL_HEAD_BYTES)
+                                            + TYPICAL_HEADER_BYTES)
                                     / BYTES_PER_KILOBYTE);
         }
         answer = received;
-        boolean triedAgain =
+        boolean retry =
                 failed
                         && received.getStatus() != GATEWAY_TIMEOUT
                         && !received.getFailedBelow()
                         && route.idempotent()
-                        && mayReachAnother();
-        needsBudget = triedAgain;
-        perform(triedAgain ? call.failed(attemptId(attempt)) : call.answered(attemptId(attempt)));
+                        && hasAttemptsLeft();
+        needsRetryBudget = retry;
+        perform(retry ? call.failed(attemptId(attempt)) : call.answered(attemptId(attempt)));
     }
 
     void onRefused(ForwardedRefusal received) {
@@ -173,23 +176,23 @@
         if (attempt == null) {
             return;
         }
-        atUpstream--;
+        upstreamAttempts--;
         attempt.target.updateLoad(received.getLoad(), now());
         if (received.getRetryAfterMilliseconds() > 0) {
             retryAfterMilliseconds = received.getRetryAfterMilliseconds();
         }
         switch (received.getReason()) {
-            case QUEUE_FULL -> sentBack++;
+            case QUEUE_FULL -> fullRefusals++;
             case OVERLOADED -> {
-                atUpstream++;
-                needsBudget = true;
+                upstreamAttempts++;
+                needsRetryBudget = true;
             }
             case STALE_INCARNATION, DRAINING, NO_UPSTREAM -> {
-                unreached++;
+                unreachedAttempts++;
                 attempt.target.markNotAccepting();
             }
-            case QUARANTINED -> unreached = MOST_UNREACHED;
-            default -> unreached++;
+            case QUARANTINED -> unreachedAttempts = MAX_UNREACHED;
+            default -> unreachedAttempts++;
         }
         RefusalReason reason =
                 received.getReason() == RefusalReason.STALE_INCARNATION
@@ -202,7 +205,7 @@
         SentAttempt attempt = end(received.getAttempt());
         if (attempt != null) {
             attempt.target.estimate().onOutcome(true, now());
-            needsBudget = true;
+            needsRetryBudget = true;
             perform(call.failed(attemptId(attempt)));
         }
     }
@@ -210,33 +213,33 @@
     void onSealed(CallSealed received) {
         SentAttempt attempt = attempts.get(received.getAttempt());
         if (attempt != null) {
-            unreached++;
+            unreachedAttempts++;
             perform(call.sealResult(attemptId(attempt), received.getState()));
         }
     }
 
-    /** The call was not sent: no connection could be opened. */
+    /** The attempt was not sent: no connection could be opened. */
     void onUnsent(int number) {
         SentAttempt attempt = end(number);
         if (attempt != null) {
-            atUpstream--;
-            unreached++;
-            attempt.target.estimate().avoidUntil(now() + UNREACHABLE_MILLISECONDS);
+            upstreamAttempts--;
+            unreachedAttempts++;
+            attempt.target.estimate().avoidUntil(now() + UNREACHABLE_BACKOFF_MILLISECONDS);
             perform(call.notSent(attemptId(attempt), RefusalReason.TARGET_UNREACHABLE));
         }
     }
 
-    /** The link was lost over which calls to this target had been sent. */
+    /** The link was lost over which attempts had been sent to the target. */
     void onLinkLost(NodeId target) {
         for (SentAttempt attempt : List.copyOf(attempts.values())) {
             if (attempt.target.node().equals(target) && !attempt.isEnded()) {
-                needsBudget = true;
+                needsRetryBudget = true;
                 perform(call.connectionLost(attemptId(attempt)));
             }
         }
     }
 
-    /** Tells the caller what is known now. */
+    /** Ends the request now, with the outcome known so far. */
     void finishNow() {
         perform(call.deadline());
     }
@@ -263,22 +266,22 @@
         } else if (action instanceof EntryAction.Cancel cancel) {
             cancel(cancel.attempt());
         } else if (action instanceof EntryAction.AnswerCaller) {
-            replies.sendAnswer(answer, tried, sentBack);
+            replies.sendAnswer(answer, triedNodes, fullRefusals);
         } else if (action instanceof EntryAction.RefuseCaller refuse) {
-            replies.sendNotRun(refuse.reason(), retryAfterMilliseconds, tried, sentBack);
+            replies.sendNotRun(refuse.reason(), retryAfterMilliseconds, triedNodes, fullRefusals);
         } else if (action instanceof EntryAction.UnknownToCaller unknown) {
             replyUnknown(unknown);
         }
     }
 
     private void send(AttemptId attempt) {
-        if (attempt.attempt() > 1 && !mayGoOn()) {
-            perform(call.noTarget(attempt, stopReason()));
+        if (attempt.attempt() > 1 && !mayRetry()) {
+            perform(call.noTarget(attempt, exhaustedReason()));
             return;
         }
         List<FleetTarget> candidates = candidates();
         TargetChooser.Choice<FleetTarget> choice =
-                context.chooser().choose(candidates, FleetTarget::estimate, work(), now());
+                context.chooser().choose(candidates, FleetTarget::estimate, callProfile(), now());
         if (choice == null) {
             perform(call.noTarget(attempt, RefusalReason.NO_UPSTREAM));
             return;
@@ -289,55 +292,55 @@
                         target.node(),
                         new Incarnation(Math.max(1, target.link().targetIncarnation())));
         if (call.sent(attempt, targetId)) {
-            boolean lastChoice = sentBack >= MOST_SENT_BACK || candidates.size() == 1;
+            boolean lastChoice = fullRefusals >= MAX_FULL_REFUSALS || candidates.size() == 1;
             attempts.put(
                     attempt.attempt(), new SentAttempt(attempt.attempt(), target, targetId, now()));
-            tried.add(target.node());
-            atUpstream++;
-            target.link().send(frames.create(attempt.attempt(), choice, lastChoice));
+            triedNodes.add(target.node());
+            upstreamAttempts++;
+            target.link().send(calls.create(attempt.attempt(), choice, lastChoice));
         }
     }
 
-    private RefusalReason stopReason() {
-        return sentBack > MOST_SENT_BACK
+    private RefusalReason exhaustedReason() {
+        return fullRefusals > MAX_FULL_REFUSALS
                 ? RefusalReason.QUEUE_FULL
                 : RefusalReason.RETRY_BUDGET_EMPTY;
     }
 
-    private boolean mayGoOn() {
-        if (!needsBudget) {
-            return sentBack <= MOST_SENT_BACK && unreached <= MOST_UNREACHED;
+    private boolean mayRetry() {
+        if (!needsRetryBudget) {
+            return fullRefusals <= MAX_FULL_REFUSALS && unreachedAttempts <= MAX_UNREACHED;
         }
-        needsBudget = false;
-        return mayReachAnother() && budget.tryAcquire(context.fleet().all().size(), now());
+        needsRetryBudget = false;
+        return hasAttemptsLeft() && budget.tryAcquire(context.fleet().all().size(), now());
     }
 
-    private boolean mayReachAnother() {
-        return atUpstream < route.maximumAttempts();
+    private boolean hasAttemptsLeft() {
+        return upstreamAttempts < route.maximumAttempts();
     }
 
     private List<FleetTarget> candidates() {
         long now = now();
         List<FleetTarget> candidates = new ArrayList<>();
         for (FleetTarget target : context.fleet().targets(service)) {
-            boolean possible = target.isAcceptingCalls() && !tried.contains(target.node());
-            if (possible && !target.estimate().isAvoided(now)) {
+            boolean eligible = target.isAcceptingCalls() && !triedNodes.contains(target.node());
+            if (eligible && !target.estimate().isAvoided(now)) {
                 candidates.add(target);
             }
         }
         return candidates;
     }
 
-    private CallProfile work() {
+    private CallProfile callProfile() {
         double objective =
-                Math.max(LEAST_OBJECTIVE_MILLISECONDS, (double) (frames.objectiveAt() - now()));
+                Math.max(MIN_OBJECTIVE_MILLISECONDS, (double) (calls.objectiveAt() - now()));
         return new CallProfile(
-                context.usualWork().meanMilliseconds(route.name()),
+                context.statistics().meanMilliseconds(route.name()),
                 objective,
-                context.usualWork().meanKilobytes(route.name()));
+                context.statistics().meanKilobytes(route.name()));
     }
 
-    /** Only a call that may not be repeated is worth the wait for word about it. */
+    /** Only a non-idempotent request waits for the result; an idempotent one is sent again. */
     private void seal(AttemptId attempt) {
         SentAttempt sent = attempts.get(attempt.attempt());
         sent.end();
@@ -366,16 +369,16 @@
 
     private void replyUnknown(EntryAction.UnknownToCaller unknown) {
         if (answer != null) {
-            replies.sendAnswer(answer, tried, sentBack);
+            replies.sendAnswer(answer, triedNodes, fullRefusals);
         } else {
-            replies.sendUnknown(unknown, tried, sentBack);
+            replies.sendUnknown(unknown, triedNodes, fullRefusals);
         }
     }
 
     private void release() {
         deadlineTimer.cancel();
         attempts.values().forEach(SentAttempt::end);
-        finished.accept(this);
+        onFinished.accept(this);
     }
 
     private SentAttempt end(int number) {
--- a/relay/src/main/java/org/damaskmoor/relay/internal/entry/EntryRequestHandler.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/entry/EntryRequestHandler.java
@@ -25,8 +25,8 @@
 import org.damaskmoor.schema.link.TargetLoad;
 
 /**
- * The entry's side of requests: finds the route, divides weighted parts, and leads what targets
- * tell to the request that it concerns.
+ * Handles callers' requests at the entry: matches the route, picks a service by weight, starts an
+ * exchange, and passes messages from targets to the exchange that they concern.
  *
  * <p>Confined to the event loop. Invariant: each request of a caller gets one reply.
  */
@@ -34,62 +34,65 @@
     private static final int NOT_FOUND = 404;
     private static final int FIRST_SERVER_ERROR = 500;
 
-    /** When a caller may come again to a node that has no configuration yet. */
+    /** Retry-After of a node that has no configuration yet. */
     private static final long UNCONFIGURED_RETRY_AFTER_MILLISECONDS = 500;
 
-    /** When a caller may come again to a node that stops; its connection is closed. */
+    /** Retry-After of a stopping node, which also closes the caller's connection. */
     private static final long STOPPING_RETRY_AFTER_MILLISECONDS = 100;
 
-    /** When a caller may come again with a request that crashed upstreams. */
+    /** Retry-After of a request that is quarantined because it crashed upstreams. */
     private static final long QUARANTINED_RETRY_AFTER_MILLISECONDS = 30_000;
 
     private final NodeId self;
     private final Incarnation incarnation;
     private final EntryContext context;
-    private final QuarantinedRequests crashed;
+    private final QuarantinedRequests quarantined;
     private final Map<Long, EntryExchange> exchanges = new HashMap<>();
-    private final Map<String, SmoothWeightedRoundRobin> turns = new HashMap<>();
+    private final Map<String, SmoothWeightedRoundRobin> roundRobins = new HashMap<>();
     private RouteTable routes;
-    private boolean closed;
-    private long sequence;
+    private boolean rejecting;
+    private long lastSequence;
     private long lastFailureAt = Long.MIN_VALUE;
 
     public EntryRequestHandler(
             NodeId self,
             Incarnation incarnation,
             EntryContext context,
-            QuarantinedRequests crashed) {
+            QuarantinedRequests quarantined) {
         this.self = self;
         this.incarnation = incarnation;
         this.context = context;
-        this.crashed = crashed;
+        this.quarantined = quarantined;
     }
 
-    /** Puts a configuration in force. */
-    public void applyRoutes(RouteTable newer) {
-        routes = newer;
-        turns.keySet()
-                .removeIf(name -> newer.routes().stream().noneMatch(r -> r.name().equals(name)));
+    /** Routes new requests by the given configuration. */
+    public void applyRoutes(RouteTable newRoutes) {
+        routes = newRoutes;
+        roundRobins
+                .keySet()
+                .removeIf(
+                        name -> newRoutes.routes().stream().noneMatch(r -> r.name().equals(name)));
     }
 
-    /** Refuses requests that come from now on: this node is about to end. */
+    /** Refuses new requests from now on, because this node is about to stop. */
     public void rejectNewRequests() {
-        closed = true;
+        rejecting = true;
     }
 
-    /** Answers what is still open as far as it is known: this node ends now. */
+    /** Ends all open requests with the outcome known so far, because this node stops now. */
     public void finishAll() {
         List.copyOf(exchanges.values()).forEach(EntryExchange::finishNow);
     }
 
     /**
-     * When a request failed here last, or its caller left, in milliseconds of the monotonic clock.
+     * Time at which a request last failed here or its caller disconnected, in milliseconds of the
+     * monotonic clock.
      */
     public long lastFailureAt() {
         return lastFailureAt;
     }
 
-    /** Requests that are served now. */
+    /** Number of requests that have not ended. */
     public int openRequests() {
         return exchanges.size();
     }
@@ -101,7 +104,7 @@
             refuse(request, "unconfigured", UNCONFIGURED_RETRY_AFTER_MILLISECONDS, reply);
             return () -> {};
         }
-        if (closed) {
+        if (rejecting) {
             refuse(request, "node-stopping", STOPPING_RETRY_AFTER_MILLISECONDS, reply);
             return () -> {};
         }
@@ -114,7 +117,7 @@
                     .with("path", request.path())
                     .with("version", routes.version())
                     .write();
-            reply.accept(CallerReply.ofText(NOT_FOUND, "No route leads to this host and path."));
+            reply.accept(CallerReply.ofText(NOT_FOUND, "No route matches this host and path."));
             return () -> {};
         }
         if (isQuarantined(request)) {
@@ -125,14 +128,14 @@
     }
 
     private Runnable start(CallerRequest request, Route route, Consumer<CallerReply> reply) {
-        sequence++;
-        RequestId id = new RequestId(self, incarnation, sequence);
+        lastSequence++;
+        RequestId id = new RequestId(self, incarnation, lastSequence);
         EntryExchange exchange =
                 new EntryExchange(
                         id,
                         request,
                         route,
-                        next(route),
+                        selectService(route),
                         context,
                         answer -> {
                             if (answer.status() >= FIRST_SERVER_ERROR) {
@@ -141,7 +144,7 @@
                             reply.accept(answer);
                         },
                         ended -> exchanges.remove(ended.id().sequence()));
-        exchanges.put(sequence, exchange);
+        exchanges.put(lastSequence, exchange);
         exchange.start();
         return () -> {
             lastFailureAt = context.timers().now();
@@ -149,21 +152,21 @@
         };
     }
 
-    private ServiceName next(Route route) {
+    private ServiceName selectService(Route route) {
         if (route.parts().size() == 1) {
             return route.parts().get(0).service();
         }
-        SmoothWeightedRoundRobin current = turns.get(route.name());
+        SmoothWeightedRoundRobin current = roundRobins.get(route.name());
         if (current == null || !current.parts().equals(route.parts())) {
             current = new SmoothWeightedRoundRobin(route.parts(), context.random().nextInt());
-            turns.put(route.name(), current);
+            roundRobins.put(route.name(), current);
         }
         return current.next();
     }
 
     private boolean isQuarantined(CallerRequest request) {
-        return crashed.hasAny()
-                && crashed.contains(
+        return quarantined.hasAny()
+                && quarantined.contains(
                         RequestFingerprint.of(
                                 request.method(),
                                 request.target(),
@@ -182,33 +185,33 @@
         reply.accept(CallerReply.notRun(reason, retryAfter));
     }
 
-    /** What a target tells of calls. */
+    /** Returns the listener for messages from a target. */
     public CallOutcomeListener outcomeListener(NodeId target) {
-        return new Outcomes(target);
+        return new TargetOutcomeListener(target);
     }
 
-    /** Calls that were not sent. */
+    /** Calls that were not sent, because no link to the target could be opened. */
     public void onUnsent(List<ForwardedCall> calls) {
         for (ForwardedCall call : calls) {
             find(call.getSequence()).ifPresent(exchange -> exchange.onUnsent(call.getAttempt()));
         }
     }
 
-    /** The link to a target was lost. */
+    /** The link to a target was lost, with calls sent over it. */
     public void onLinkLost(NodeId target) {
         for (EntryExchange exchange : List.copyOf(exchanges.values())) {
             exchange.onLinkLost(target);
         }
     }
 
-    private Optional<EntryExchange> find(long number) {
-        return Optional.ofNullable(exchanges.get(number));
+    private Optional<EntryExchange> find(long sequence) {
+        return Optional.ofNullable(exchanges.get(sequence));
     }
 
-    private final class Outcomes implements CallOutcomeListener {
+    private final class TargetOutcomeListener implements CallOutcomeListener {
         private final NodeId target;
 
-        Outcomes(NodeId target) {
+        TargetOutcomeListener(NodeId target) {
             this.target = target;
         }
 
--- a/relay/src/main/java/org/damaskmoor/relay/internal/entry/ExchangeReplySender.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/entry/ExchangeReplySender.java
@@ -13,16 +13,18 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * Tells a caller how its request has ended, and the log and the metrics with it. Confined to the
- * event loop.
+ * Sends a caller the reply to its request, and logs and counts the outcome. Confined to the event
+ * loop.
  */
 final class ExchangeReplySender {
-    private static final int UNAVAILABLE = 503;
+    private static final int SERVICE_UNAVAILABLE = 503;
     private static final int BAD_GATEWAY = 502;
     private static final int GATEWAY_TIMEOUT = 504;
 
-    /** Bounds of the part of a Retry-After that is told, so that callers do not return together. */
-    private static final double LEAST_JITTER = 0.75;
+    /**
+     * Least factor of the Retry-After jitter, which keeps callers from retrying at the same time.
+     */
+    private static final double MIN_JITTER = 0.75;
 
     private static final double JITTER_RANGE = 0.5;
 
@@ -45,31 +47,32 @@
         this.reply = reply;
     }
 
-    /** An upstream's answer, as it is. */
-    void sendAnswer(ForwardedAnswer answer, Collection<NodeId> tried, int sentBack) {
-        log(answer.getStatus(), "answered", tried, sentBack);
+    /** Forwards an upstream's answer unchanged. */
+    void sendAnswer(ForwardedAnswer answer, Collection<NodeId> triedNodes, int fullRefusals) {
+        log(answer.getStatus(), "answered", triedNodes, fullRefusals);
         reply.accept(
                 new CallerReply(answer.getStatus(), answer.getHeadersList(), answer.getBody()));
     }
 
-    /** It has not run and never will. */
+    /** Replies that the request was not run and never will be. */
     void sendNotRun(
             RefusalReason reason,
             long retryAfterMilliseconds,
-            Collection<NodeId> tried,
-            int sentBack) {
-        log(UNAVAILABLE, reason.name(), tried, sentBack);
+            Collection<NodeId> triedNodes,
+            int fullRefusals) {
+        log(SERVICE_UNAVAILABLE, reason.name(), triedNodes, fullRefusals);
         context.metrics().count("refused", service.value() + "." + reason);
-        double jitter = LEAST_JITTER + JITTER_RANGE * context.random().nextDouble();
+        double jitter = MIN_JITTER + JITTER_RANGE * context.random().nextDouble();
         long retryAfter = Math.max(1, Math.round(retryAfterMilliseconds * jitter));
         reply.accept(CallerReply.notRun(reason.name(), retryAfter));
     }
 
-    /** It is unknown whether it ran. */
-    void sendUnknown(EntryAction.UnknownToCaller unknown, Collection<NodeId> tried, int sentBack) {
+    /** Replies that it is unknown whether the request ran. */
+    void sendUnknown(
+            EntryAction.UnknownToCaller unknown, Collection<NodeId> triedNodes, int fullRefusals) {
         String step = unknown.step().wireName();
         int status = unknown.step() == UnknownOutcomeStep.DEADLINE ? GATEWAY_TIMEOUT : BAD_GATEWAY;
-        log(status, step, tried, sentBack);
+        log(status, step, triedNodes, fullRefusals);
         context.metrics().count("unknown", step);
         reply.accept(
                 CallerReply.ofText(
@@ -81,9 +84,9 @@
                                 + "."));
     }
 
-    private void log(int status, String outcome, Collection<NodeId> tried, int sentBack) {
-        long took = context.timers().now() - request.arrivedAt();
-        context.metrics().recordDuration("request." + service.value(), took);
+    private void log(int status, String outcome, Collection<NodeId> triedNodes, int fullRefusals) {
+        long durationMilliseconds = context.timers().now() - request.arrivedAt();
+        context.metrics().recordDuration("request." + service.value(), durationMilliseconds);
         context.log()
                 .event("request-ended")
                 .with("request", request.id())
@@ -91,10 +94,10 @@
                 .with("service", service)
                 .with("status", status)
                 .with("outcome", outcome)
-                .with("sent_back", sentBack)
-                .with("took_ms", took)
-                .with("usual_ms", Math.round(context.usualWork().meanMilliseconds(route.name())))
-                .with("targets", tried)
+                .with("sent_back", fullRefusals)
+                .with("took_ms", durationMilliseconds)
+                .with("usual_ms", Math.round(context.statistics().meanMilliseconds(route.name())))
+                .with("targets", triedNodes)
                 .write();
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/entry/ForwardedCallFactory.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/entry/ForwardedCallFactory.java
@@ -7,10 +7,10 @@
 import org.damaskmoor.relay.internal.fleet.FleetTarget;
 import org.damaskmoor.schema.link.ForwardedCall;
 
-/** Makes the calls that a request sends to targets. Confined to the event loop. */
+/** Creates the {@link ForwardedCall} messages of one request. Confined to the event loop. */
 final class ForwardedCallFactory {
-    /** Bound on what is told of the spare time; longer than any wait at a target. */
-    private static final double MOST_SPARE_MILLISECONDS = 60_000;
+    /** Upper bound of the reported spare time; longer than any wait at a target. */
+    private static final double MAX_SPARE_MILLISECONDS = 60_000;
 
     private static final double PERCENT = 100;
 
@@ -19,7 +19,7 @@
     private final Route route;
     private final ServiceName service;
     private final EntryContext context;
-    private final long limitAt;
+    private final long deadlineAt;
 
     ForwardedCallFactory(
             long sequence,
@@ -27,28 +27,28 @@
             Route route,
             ServiceName service,
             EntryContext context,
-            long limitAt) {
+            long deadlineAt) {
         this.sequence = sequence;
         this.request = request;
         this.route = route;
         this.service = service;
         this.context = context;
-        this.limitAt = limitAt;
+        this.deadlineAt = deadlineAt;
     }
 
-    /** Until when the answer has its full worth. */
+    /** Time until which an answer meets the objective of the route. */
     long objectiveAt() {
         return route.objectiveMilliseconds() > 0
                 ? request.arrivedAt() + route.objectiveMilliseconds()
-                : limitAt;
+                : deadlineAt;
     }
 
     ForwardedCall create(
             int attempt, TargetChooser.Choice<FleetTarget> choice, boolean lastChoice) {
         long now = context.timers().now();
         double slowness = choice.target().estimate().baselineSlowness();
-        double spare = Math.min(MOST_SPARE_MILLISECONDS, choice.spareMilliseconds());
-        double usual = context.usualWork().meanMilliseconds(route.name());
+        double spareMilliseconds = Math.min(MAX_SPARE_MILLISECONDS, choice.spareMilliseconds());
+        double usualMilliseconds = context.statistics().meanMilliseconds(route.name());
         return ForwardedCall.newBuilder()
                 .setSequence(sequence)
                 .setAttempt(attempt)
@@ -58,15 +58,15 @@
                 .addAllHeaders(request.headers())
                 .setBody(request.body())
                 .setCallerRequestId(request.id())
-                .setRemainingMilliseconds((int) Math.max(1, limitAt - now))
+                .setRemainingMilliseconds((int) Math.max(1, deadlineAt - now))
                 .setObjectiveMilliseconds((int) Math.max(0, objectiveAt() - now))
                 .setPriority(route.priority())
                 .setNonIdempotent(!route.idempotent())
                 .setCallerService(context.service().value())
-                .setUsualMilliseconds((int) Math.round(usual))
+                .setUsualMilliseconds((int) Math.round(usualMilliseconds))
                 .setLastChoice(lastChoice)
                 .setExpectedSlownessPercent((int) Math.round(slowness * PERCENT))
-                .setSpareMilliseconds((int) spare)
+                .setSpareMilliseconds((int) spareMilliseconds)
                 .build();
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/entry/QuarantinedRequests.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/entry/QuarantinedRequests.java
@@ -2,11 +2,13 @@
 
 import org.damaskmoor.core.quarantine.RequestFingerprint;
 
-/** The requests that are held back because they crash upstreams. Confined to the event loop. */
+/** Requests that are quarantined because they crash upstreams. Confined to the event loop. */
 public interface QuarantinedRequests {
-    /** Whether any crash is known; spares the fingerprint of each request when none is. */
+    /**
+     * Whether any crash is known. If none is, the fingerprint of a request need not be computed.
+     */
     boolean hasAny();
 
-    /** Whether this request is held back. */
+    /** Whether the request is quarantined. */
     boolean contains(RequestFingerprint request);
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/entry/RetryBudgets.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/entry/RetryBudgets.java
@@ -5,7 +5,7 @@
 import org.damaskmoor.core.id.ServiceName;
 import org.damaskmoor.core.retry.FleetRetryBudget;
 
-/** This node's parts of the retry budgets of all services. Confined to the event loop. */
+/** This node's shares of the retry budgets of all services. Confined to the event loop. */
 public final class RetryBudgets {
     private final double ratio;
     private final double slack;
--- a/relay/src/main/java/org/damaskmoor/relay/internal/entry/SentAttempt.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/entry/SentAttempt.java
@@ -3,7 +3,7 @@
 import org.damaskmoor.core.id.TargetId;
 import org.damaskmoor.relay.internal.fleet.FleetTarget;
 
-/** One attempt at a request that is at a target. Confined to the event loop. */
+/** An attempt at a request that was sent to a target. Confined to the event loop. */
 final class SentAttempt {
     final int number;
     final FleetTarget target;
@@ -23,7 +23,7 @@
         return ended;
     }
 
-    /** Counts it out at its target; later calls change nothing. */
+    /** Removes the attempt from the load estimate of its target; further calls have no effect. */
     void end() {
         if (!ended) {
             ended = true;
--- a/relay/src/main/java/org/damaskmoor/relay/internal/fleet/ConfigurationHolder.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/fleet/ConfigurationHolder.java
@@ -12,9 +12,9 @@
 import org.damaskmoor.relay.internal.log.EventLog;
 
 /**
- * The configuration in force at this node, with the text that peers may ask for.
+ * Holds the configuration in force at this node, with its text, which peers may request.
  *
- * <p>Confined to the event loop. Invariant: its version never falls.
+ * <p>Confined to the event loop. Invariant: the version never decreases.
  */
 public final class ConfigurationHolder implements TableWatch.Listener {
     private final EventLog log;
@@ -22,7 +22,7 @@
     private ByteString text = ByteString.EMPTY;
     private RouteTable table;
 
-    /** Creates a holder; the listener hears of each newer configuration. */
+    /** Creates an empty holder; the listener receives each newer configuration. */
     public ConfigurationHolder(EventLog log, Consumer<RouteTable> listener) {
         this.log = log;
         this.listener = listener;
@@ -33,12 +33,12 @@
         return Optional.ofNullable(table);
     }
 
-    /** Its version; 0 before the first one. */
+    /** The version in force; 0 before the first one. */
     public long version() {
         return table == null ? 0 : table.version();
     }
 
-    /** Its text, as the operator wrote it. */
+    /** The text of the configuration in force, as the operator wrote it. */
     public ByteString text() {
         return text;
     }
@@ -56,13 +56,13 @@
     }
 
     /** Puts a configuration in force if it is newer and valid. */
-    public void applyIfNewer(ByteString offered, String source) {
-        if (offered.isEmpty() || offered.equals(text)) {
+    public void applyIfNewer(ByteString candidate, String source) {
+        if (candidate.isEmpty() || candidate.equals(text)) {
             return;
         }
         try {
             RouteTable decoded =
-                    ConfigurationDecoder.decode(offered.toString(StandardCharsets.UTF_8));
+                    ConfigurationDecoder.decode(candidate.toString(StandardCharsets.UTF_8));
             if (table != null && decoded.version() <= table.version()) {
                 log.event("configuration-older")
                         .with("version", decoded.version())
@@ -72,7 +72,7 @@
                 return;
             }
             table = decoded;
-            text = offered;
+            text = candidate;
             log.event("configuration-in-force")
                     .with("version", table.version())
                     .with("routes", table.routes().size())
--- a/relay/src/main/java/org/damaskmoor/relay/internal/fleet/FleetDirectory.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/fleet/FleetDirectory.java
@@ -25,29 +25,29 @@
 import org.damaskmoor.schema.link.LinkHello;
 
 /**
- * The nodes of the fleet, as this node knows them from the store and from its peers.
+ * The nodes of the fleet that this node knows from the store and from peers.
  *
- * <p>Confined to the event loop. Invariants: this node itself is always in it; a record from a peer
- * replaces only an older one; what the store says goes before what peers say.
+ * <p>Confined to the event loop. Invariants: this node is always included; a record from a peer
+ * replaces only an older one; a record from the store replaces any other.
  */
 public final class FleetDirectory implements TableWatch.Listener {
-    /** Table of the store in which each node keeps its own record, under its name. */
+    /** Table of the store in which each node keeps its own record, keyed by its id. */
     public static final String TABLE = "members";
 
     private final NodeId self;
     private final RegionName region;
     private final DataCentreName dataCentre;
-    private final LinkMaker links;
+    private final LinkFactory linkFactory;
     private final Timers timers;
     private final EventLog log;
     private final Map<NodeId, FleetTarget> targets = new HashMap<>();
     private final Map<ServiceName, List<FleetTarget>> byService = new HashMap<>();
-    private final Set<NodeId> stored = new HashSet<>();
-    private boolean snapshotSeen;
+    private final Set<NodeId> storedNodes = new HashSet<>();
+    private boolean snapshotReceived;
 
-    /** Makes the link to a node. */
+    /** Creates the link to a node. */
     @FunctionalInterface
-    public interface LinkMaker {
+    public interface LinkFactory {
         CallLink link(NodeId node, InetSocketAddress address);
     }
 
@@ -55,29 +55,29 @@
             NodeId self,
             RegionName region,
             DataCentreName dataCentre,
-            LinkMaker links,
+            LinkFactory linkFactory,
             Timers timers,
             EventLog log) {
         this.self = self;
         this.region = region;
         this.dataCentre = dataCentre;
-        this.links = links;
+        this.linkFactory = linkFactory;
         this.timers = timers;
         this.log = log;
     }
 
-    /** Adds this node itself. */
+    /** Adds this node. */
     public void addSelf(FleetMember member, CallLink link) {
         TargetEstimate estimate = new TargetEstimate(Proximity.SELF, 1, timers.now());
         put(new FleetTarget(self, member, estimate, link));
     }
 
-    /** All nodes, this one included. */
+    /** All nodes, including this one. */
     public Collection<FleetTarget> all() {
         return targets.values();
     }
 
-    /** The nodes whose upstreams run a service. */
+    /** The nodes whose upstreams serve the given service. */
     public List<FleetTarget> targets(ServiceName service) {
         return byService.getOrDefault(service, List.of());
     }
@@ -87,12 +87,12 @@
         return Optional.ofNullable(targets.get(node));
     }
 
-    /** Whether the store has told its records at least once. */
+    /** Whether the members were read from the store at least once. */
     public boolean hasSnapshot() {
-        return snapshotSeen;
+        return snapshotReceived;
     }
 
-    /** The nodes of this node's data centre, itself included. */
+    /** The nodes of this node's data centre, including itself. */
     public List<FleetTarget> inDataCentre() {
         return targets.values().stream().filter(this::isInDataCentre).toList();
     }
@@ -102,7 +102,7 @@
         return targets.values().stream().filter(target -> !isInDataCentre(target)).toList();
     }
 
-    /** Whether a node is in the region of this one. */
+    /** Whether a node is in the same region as this one. */
     public boolean isInRegion(FleetTarget target) {
         return target.member().getRegion().equals(region.value());
     }
@@ -113,11 +113,11 @@
 
     @Override
     public void onSnapshot(List<StoredRow> rows) {
-        snapshotSeen = true;
-        Set<NodeId> former = Set.copyOf(stored);
-        stored.clear();
+        snapshotReceived = true;
+        Set<NodeId> previous = Set.copyOf(storedNodes);
+        storedNodes.clear();
         rows.forEach(this::onChange);
-        former.stream().filter(node -> !stored.contains(node)).forEach(this::remove);
+        previous.stream().filter(node -> !storedNodes.contains(node)).forEach(this::remove);
     }
 
     @Override
@@ -130,23 +130,23 @@
             remove(node);
             return;
         }
-        stored.add(node);
+        storedNodes.add(node);
         try {
             FleetMember member = FleetMember.parseFrom(row.value());
             if (member.getNodeId().equals(node.value())) {
                 apply(member);
             }
-        } catch (InvalidProtocolBufferException unreadable) {
+        } catch (InvalidProtocolBufferException invalid) {
             log.event("row-unreadable")
                     .with("key", row.key())
-                    .with("cause", unreadable.getMessage())
+                    .with("cause", invalid.getMessage())
                     .write();
         }
     }
 
-    /** Peers told of nodes. */
-    public void merge(Collection<FleetMember> news) {
-        for (FleetMember member : news) {
+    /** Merges records that a peer sent; each replaces only an older one. */
+    public void merge(Collection<FleetMember> records) {
+        for (FleetMember member : records) {
             if (member.getNodeId().isEmpty()) {
                 continue;
             }
@@ -158,9 +158,9 @@
     }
 
     /**
-     * A node said who it is.
+     * A node sent its hello. If another node has the address now, the expected one is removed.
      *
-     * @return whether it is the one that was expected at that address
+     * @return whether it is the node that was expected at that address
      */
     public boolean onHello(NodeId expected, LinkHello hello) {
         if (!hello.getNodeId().equals(expected.value())) {
@@ -197,9 +197,9 @@
             return;
         }
         remove(node);
-        CallLink link = links.link(node, address.get());
+        CallLink link = linkFactory.link(node, address.get());
         TargetEstimate estimate =
-                new TargetEstimate(nearness(member), member.getSlots(), timers.now());
+                new TargetEstimate(proximity(member), member.getSlots(), timers.now());
         put(new FleetTarget(node, member, estimate, link));
         log.event("member-added")
                 .with("node", node)
@@ -218,7 +218,7 @@
     }
 
     private void remove(NodeId node) {
-        stored.remove(node);
+        storedNodes.remove(node);
         if (node.equals(self)) {
             return;
         }
@@ -230,7 +230,7 @@
         }
     }
 
-    private Proximity nearness(FleetMember member) {
+    private Proximity proximity(FleetMember member) {
         if (!member.getRegion().equals(region.value())) {
             return Proximity.REMOTE;
         }
@@ -238,17 +238,17 @@
         return sameDataCentre ? Proximity.DATA_CENTRE : Proximity.REGION;
     }
 
-    private static boolean isNewer(FleetMember news, FleetMember known) {
-        if (news.getIncarnation() != known.getIncarnation()) {
-            return news.getIncarnation() > known.getIncarnation();
+    private static boolean isNewer(FleetMember candidate, FleetMember known) {
+        if (candidate.getIncarnation() != known.getIncarnation()) {
+            return candidate.getIncarnation() > known.getIncarnation();
         }
-        return news.getRevision() > known.getRevision();
+        return candidate.getRevision() > known.getRevision();
     }
 
     private static Optional<InetSocketAddress> address(String text) {
         try {
             return Optional.of(Addresses.parse(text));
-        } catch (IllegalArgumentException unusable) {
+        } catch (IllegalArgumentException invalid) {
             return Optional.empty();
         }
     }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/fleet/FleetTarget.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/fleet/FleetTarget.java
@@ -8,7 +8,7 @@
 import org.damaskmoor.schema.link.TargetLoad;
 import org.damaskmoor.schema.mesh.UpstreamState;
 
-/** One node with its upstream, as an entry sees it. Confined to the event loop. */
+/** A node and its upstream, as an entry sees them. Confined to the event loop. */
 public final class FleetTarget {
     private static final double PERCENT = 100;
 
@@ -30,36 +30,36 @@
         return node;
     }
 
-    /** What is expected of it. */
+    /** The load and speed that are expected of it. */
     public TargetEstimate estimate() {
         return estimate;
     }
 
-    /** The way to it. */
+    /** The link to it. */
     public CallLink link() {
         return link;
     }
 
-    /** Its own record. */
+    /** The latest known member record of the node. */
     public FleetMember member() {
         return member;
     }
 
-    void member(FleetMember newer) {
-        member = newer;
+    void member(FleetMember newRecord) {
+        member = newRecord;
     }
 
-    /** Whether its upstream takes calls, as far as it is known. */
+    /** Whether its upstream accepts calls, by its last report. */
     public boolean isAcceptingCalls() {
         return state == UpstreamState.SERVING;
     }
 
-    /** Its upstream does not take calls until it says so again. */
+    /** Assumes that the upstream accepts no calls until a load report says that it does. */
     public void markNotAccepting() {
         state = UpstreamState.LEAVING;
     }
 
-    /** It told its load. */
+    /** Records a load report of the target. */
     public void updateLoad(TargetLoad load, long now) {
         state = load.getState();
         estimate.onLoadReport(
--- a/relay/src/main/java/org/damaskmoor/relay/internal/fleet/OwnRecordPublisher.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/fleet/OwnRecordPublisher.java
@@ -11,14 +11,14 @@
 import org.damaskmoor.schema.link.FleetMember;
 
 /**
- * This node's own record in the store: written when the store holds another one, removed when the
- * node leaves for good.
+ * Keeps this node's member record in the store: writes it while the store holds a different one,
+ * and removes it when the node leaves permanently.
  *
- * <p>Confined to the event loop. Invariant: at most one write is under way; a write is repeated
+ * <p>Confined to the event loop. Invariant: at most one write is in progress; a write is repeated
  * until the store holds the wanted record.
  */
 public final class OwnRecordPublisher {
-    private static final long PAUSE_MILLISECONDS = 300;
+    private static final long RETRY_DELAY_MILLISECONDS = 300;
 
     private final NodeId self;
     private final RowStore store;
@@ -41,7 +41,7 @@
         this.log = log;
     }
 
-    /** The store's row of this node, as it was read or has changed. */
+    /** The row of this node was read from the store or has changed. */
     public void onRow(StoredRow row) {
         storedKnown = true;
         storedVersion = row.removed() ? 0 : row.version();
@@ -50,27 +50,27 @@
                     row.removed()
                             ? FleetMember.getDefaultInstance()
                             : FleetMember.parseFrom(row.value());
-        } catch (InvalidProtocolBufferException unreadable) {
+        } catch (InvalidProtocolBufferException invalid) {
             log.event("row-unreadable").with("key", row.key()).write();
             stored = FleetMember.getDefaultInstance();
         }
         writeIfNeeded();
     }
 
-    /** The store holds no row of this node. */
+    /** The store has no row of this node. */
     public void onRowAbsent() {
         storedKnown = true;
         stored = FleetMember.getDefaultInstance();
         writeIfNeeded();
     }
 
-    /** The record that the store is to hold. */
+    /** Sets the record that the store should hold. */
     public void publish(FleetMember member) {
         wanted = member;
         writeIfNeeded();
     }
 
-    /** Removes the record; completes when the store has done so or did not answer. */
+    /** Removes the record; completes when the store has removed it or did not answer. */
     public CompletableFuture<Void> remove() {
         leaving = true;
         if (storedVersion == 0) {
@@ -99,9 +99,10 @@
                             if (failure == null) {
                                 onWritten(written, version);
                             } else {
-                                long pause =
-                                        PAUSE_MILLISECONDS + random.nextLong(PAUSE_MILLISECONDS);
-                                timers.schedule(pause, this::writeIfNeeded);
+                                long delay =
+                                        RETRY_DELAY_MILLISECONDS
+                                                + random.nextLong(RETRY_DELAY_MILLISECONDS);
+                                timers.schedule(delay, this::writeIfNeeded);
                             }
                         });
     }
@@ -113,7 +114,9 @@
         writeIfNeeded();
     }
 
-    /** Whether the store's record says the same, whoever wrote it and when. */
+    /**
+     * Whether the stored record has the same content, whichever incarnation and revision wrote it.
+     */
     private boolean isStored() {
         return content(stored).equals(content(wanted));
     }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/fleet/TableWatch.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/fleet/TableWatch.java
@@ -13,15 +13,18 @@
 import org.damaskmoor.relay.internal.time.Timers;
 
 /**
- * Keeps a copy of one table of the store up to date: reads it once, then waits for changes.
+ * Follows one table of the store: reads it once, then waits for changes.
  *
- * <p>Confined to the event loop. Invariants: changes are told in the order of the store; after the
- * store has dropped its history, or was lost, the table is read anew, so that it is known at once
- * whether the store answers.
+ * <p>Confined to the event loop. Invariants: changes are reported in the order of the store; after
+ * the store has dropped its history, or was lost, the whole table is read again, so that it is
+ * known at once whether the store answers.
  */
 public final class TableWatch {
-    /** After a table was read, changes are asked for within this time, whatever the rest. */
-    private static final long GREATEST_FIRST_REST_MILLISECONDS = 3000;
+    /**
+     * Upper bound of the delay between reading the table and the first wait for changes, whatever
+     * the poll policy says.
+     */
+    private static final long MAX_FIRST_DELAY_MILLISECONDS = 3000;
 
     private final String table;
     private final RowStore store;
@@ -29,37 +32,37 @@
     private final RandomGenerator random;
     private final EventLog log;
     private final Listener listener;
-    private final Pace pace;
+    private final PollPolicy pollPolicy;
     private final Runnable onRegained;
     private int failures;
-    private long question;
-    private Optional<Rest> resting = Optional.empty();
-    private boolean lost;
+    private long currentCall;
+    private Optional<Delay> pendingDelay = Optional.empty();
+    private boolean storeLost;
     private boolean stopped;
 
-    private record Rest(Timers.Cancellation timer, Runnable next) {
+    private record Delay(Timers.Cancellation timer, Runnable next) {
         void end() {
             timer.cancel();
             next.run();
         }
     }
 
-    /** Takes what the table holds. */
+    /** Receives the rows of the table and their changes. */
     public interface Listener {
-        /** All rows, as of now. */
+        /** The whole table was read. */
         void onSnapshot(List<StoredRow> rows);
 
         /** One row was changed or removed. */
         void onChange(StoredRow row);
     }
 
-    /** How closely the store is asked. */
-    public interface Pace {
-        /** Time between a change and the next question: changes meanwhile cost one call. */
-        long restMilliseconds();
+    /** Delays between calls to the store. */
+    public interface PollPolicy {
+        /** Delay between a change and the next call; changes meanwhile cost one call together. */
+        long pollDelayMilliseconds();
 
-        /** Pause after so many failures in a row, the present one included. */
-        long pauseMilliseconds(int failures);
+        /** Backoff after the given number of consecutive failures. */
+        long backoffMilliseconds(int failures);
     }
 
     /**
@@ -74,10 +77,10 @@
             RandomGenerator random,
             EventLog log,
             Listener listener,
-            Pace pace,
+            PollPolicy pollPolicy,
             Runnable onRegained) {
         this.onRegained = onRegained;
-        this.pace = pace;
+        this.pollPolicy = pollPolicy;
         this.table = table;
         this.store = store;
         this.timers = timers;
@@ -86,95 +89,95 @@
         this.listener = listener;
     }
 
-    /** Begins to read and to watch. */
+    /** Starts to read and to watch the table. */
     public void start() {
         read("", new ArrayList<>());
     }
 
-    /** Ends. */
+    /** Stops; later answers of the store are ignored. */
     public void stop() {
         stopped = true;
     }
 
-    /** Ends the present rest or pause, if there is one, and asks the store now. */
+    /** Ends the current delay or backoff, if any, and calls the store now. */
     public void pollNow() {
-        Optional<Rest> ended = resting;
-        resting = Optional.empty();
-        ended.ifPresent(Rest::end);
+        Optional<Delay> ended = pendingDelay;
+        pendingDelay = Optional.empty();
+        ended.ifPresent(Delay::end);
     }
 
-    /** Whether it waits for the store to tell a change. */
+    /** Whether a call is waiting for the store to report a change. */
     public boolean isWaiting() {
-        return resting.isEmpty() && !lost;
+        return pendingDelay.isEmpty() && !storeLost;
     }
 
-    /** Gives the present question up, as its connection may be silent, and reads anew. */
+    /** Abandons the current call, whose connection may have stalled, and reads the table again. */
     public void rereadTable() {
         log.event("store-asked-anew").with("table", table).write();
-        resting.ifPresent(rest -> rest.timer().cancel());
-        resting = Optional.empty();
+        pendingDelay.ifPresent(delay -> delay.timer().cancel());
+        pendingDelay = Optional.empty();
         start();
     }
 
-    /** Whether an answer belongs to a question that was given up. */
-    private boolean isOutdated(long answered) {
-        return stopped || answered != question;
+    /** Whether an answer belongs to an abandoned call. */
+    private boolean isStale(long call) {
+        return stopped || call != currentCall;
     }
 
-    /** Whether the store did not answer the last time. */
+    /** Whether the last call to the store failed. */
     public boolean isLost() {
-        return lost;
+        return storeLost;
     }
 
-    private void read(String fromKey, List<StoredRow> before) {
-        question++;
-        long asked = question;
+    private void read(String fromKey, List<StoredRow> rowsSoFar) {
+        currentCall++;
+        long call = currentCall;
         store.read(table, fromKey)
                 .whenComplete(
                         (page, failure) -> {
-                            if (isOutdated(asked)) {
+                            if (isStale(call)) {
                                 return;
                             }
                             if (failure != null) {
                                 onFailure(failure, this::start);
                             } else {
-                                onRead(page, before);
+                                onRead(page, rowsSoFar);
                             }
                         });
     }
 
     private void onRead(RowPage page, List<StoredRow> rows) {
-        onHeard();
+        onStoreAnswered();
         rows.addAll(page.rows());
         if (page.more() && !page.rows().isEmpty()) {
             read(rows.get(rows.size() - 1).key() + '\0', rows);
             return;
         }
         listener.onSnapshot(rows);
-        long rest = Math.min(pace.restMilliseconds(), GREATEST_FIRST_REST_MILLISECONDS);
-        rest(rest, () -> watch(page.version()));
+        long delay = Math.min(pollPolicy.pollDelayMilliseconds(), MAX_FIRST_DELAY_MILLISECONDS);
+        delay(delay, () -> watch(page.version()));
     }
 
-    private void rest(long milliseconds, Runnable next) {
-        resting = Optional.of(new Rest(timers.schedule(milliseconds, this::pollNow), next));
+    private void delay(long milliseconds, Runnable next) {
+        pendingDelay = Optional.of(new Delay(timers.schedule(milliseconds, this::pollNow), next));
     }
 
     private void watch(long version) {
         if (stopped) {
             return;
         }
-        question++;
-        long asked = question;
+        currentCall++;
+        long call = currentCall;
         store.watch(table, version)
                 .whenComplete(
                         (page, failure) -> {
-                            if (isOutdated(asked)) {
+                            if (isStale(call)) {
                                 return;
                             }
                             if (failure != null) {
                                 onFailure(failure, this::start);
                             } else {
-                                onHeard();
+                                onStoreAnswered();
                                 page.rows().forEach(listener::onChange);
                                 long next = Math.max(version, page.version());
                                 onWatched(page, next);
@@ -186,7 +189,7 @@
         if (page.rows().isEmpty()) {
             watch(version);
         } else {
-            rest(pace.restMilliseconds(), () -> watch(version));
+            delay(pollPolicy.pollDelayMilliseconds(), () -> watch(version));
         }
     }
 
@@ -197,19 +200,19 @@
             start();
             return;
         }
-        if (!lost) {
-            lost = true;
+        if (!storeLost) {
+            storeLost = true;
             log.event("store-lost").with("table", table).with("cause", cause.getMessage()).write();
         }
         failures++;
-        long pause = pace.pauseMilliseconds(failures);
-        rest(pause / 2 + random.nextLong(pause), next);
+        long backoff = pollPolicy.backoffMilliseconds(failures);
+        delay(backoff / 2 + random.nextLong(backoff), next);
     }
 
-    private void onHeard() {
+    private void onStoreAnswered() {
         failures = 0;
-        if (lost) {
-            lost = false;
+        if (storeLost) {
+            storeLost = false;
             log.event("store-regained").with("table", table).write();
             onRegained.run();
         }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/link/CallLink.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/link/CallLink.java
@@ -7,35 +7,35 @@
 import org.damaskmoor.schema.link.ForwardedCall;
 import org.damaskmoor.schema.link.ReaderSign;
 
-/** The way from an entry to one target. Confined to the event loop. */
+/** The link from an entry to one target. Confined to the event loop. */
 public interface CallLink {
-    /** Whether calls may be sent now without waiting for a connection. */
+    /** Whether calls can be sent without waiting for a connection. */
     boolean isUp();
 
-    /** The incarnation of the target at the other end; 0 while it is not known. */
+    /** The incarnation of the target; 0 while it is unknown. */
     long targetIncarnation();
 
-    /** Opens the link unless it is open, or its target has just been found out of reach. */
+    /** Opens the link unless it is open or backing off after a failed connection. */
     void open();
 
     /** Sends a call. */
     void send(ForwardedCall call);
 
-    /** Asks for a lost call to be stopped for good, over a link that is newer than the call's. */
+    /** Asks the target to seal a lost call, over a link that is newer than the one of the call. */
     void send(CallSeal seal);
 
-    /** Tells that nobody waits for a call any more. */
+    /** Tells the target that nobody waits for a call any more. */
     void send(CallCancel cancel);
 
-    /** Tells what the fleet looks like from here. */
+    /** Sends what this node knows of the fleet. */
     void send(FleetNews news);
 
-    /** Tells that this node reads the store for its data centre. */
+    /** Sends the heartbeat of this node as the store reader of its data centre. */
     void send(ReaderSign sign);
 
-    /** Asks what the fleet looks like from there. */
+    /** Requests what the target's node knows of the fleet. */
     void send(FleetRequest request);
 
-    /** Ends the link for good. */
+    /** Closes the link permanently. */
     void close();
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/link/CallOutcomeListener.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/link/CallOutcomeListener.java
@@ -6,20 +6,20 @@
 import org.damaskmoor.schema.link.ForwardedRefusal;
 import org.damaskmoor.schema.link.TargetLoad;
 
-/** What a target tells an entry. Confined to the event loop. */
+/** Receives what a target reports to an entry. Confined to the event loop. */
 public interface CallOutcomeListener {
     /** A call was answered. */
     void onAnswered(ForwardedAnswer answer);
 
-    /** A call did not run and never will. */
+    /** A call was not run and never will be. */
     void onRefused(ForwardedRefusal refusal);
 
-    /** A call was handed over and got no whole answer. */
+    /** A call was handed over to the upstream and got no complete answer. */
     void onFailed(ForwardedFailure failure);
 
-    /** A lost call was found. */
+    /** The target answered a request to seal a call. */
     void onSealed(CallSealed sealed);
 
-    /** The load of this instant. */
+    /** The target reported its current load. */
     void onLoad(TargetLoad load);
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/link/EntryId.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/link/EntryId.java
@@ -4,9 +4,9 @@
 import org.damaskmoor.core.id.NodeId;
 
 /**
- * The entry at the other end of a link. Immutable and thread-safe.
+ * Identifies the entry at the other end of a link. Immutable and thread-safe.
  *
  * @param node the entry node
- * @param incarnation its incarnation
+ * @param incarnation the incarnation of the node
  */
 public record EntryId(NodeId node, Incarnation incarnation) {}
--- a/relay/src/main/java/org/damaskmoor/relay/internal/link/FrameCodec.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/link/FrameCodec.java
@@ -8,10 +8,10 @@
 import io.netty.handler.codec.protobuf.ProtobufEncoder;
 import org.damaskmoor.schema.link.LinkFrame;
 
-/** Sets up a channel that carries link frames. Thread-safe: pure functions. */
+/** Adds the codec of link frames to channels. Thread-safe: pure functions. */
 final class FrameCodec {
-    /** A body at the configured bound of 64 MB, with its headers. */
-    private static final int MOST_FRAME_BYTES = 72 * 1024 * 1024;
+    /** Fits a body of the configured maximum of 64 MB and its headers. */
+    private static final int MAX_FRAME_BYTES = 72 * 1024 * 1024;
 
     private static final int LENGTH_BYTES = 4;
 
@@ -21,7 +21,7 @@
         channel.pipeline()
                 .addLast(
                         new LengthFieldBasedFrameDecoder(
-                                MOST_FRAME_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
+                                MAX_FRAME_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
                         new ProtobufDecoder(LinkFrame.getDefaultInstance()),
                         new LengthFieldPrepender(LENGTH_BYTES),
                         new ProtobufEncoder(),
--- a/relay/src/main/java/org/damaskmoor/relay/internal/link/HelloFrameFactory.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/link/HelloFrameFactory.java
@@ -6,12 +6,14 @@
 import org.damaskmoor.schema.link.LinkFrame;
 import org.damaskmoor.schema.link.LinkHello;
 
-/** Makes the first frame of each link; each has a greater number. Confined to the event loop. */
+/**
+ * Creates the first frame of each link, with an increasing link number. Confined to the event loop.
+ */
 final class HelloFrameFactory {
     private final NodeId self;
     private final Incarnation incarnation;
     private final LongSupplier configurationVersion;
-    private long links;
+    private long lastLinkNumber;
 
     HelloFrameFactory(NodeId self, Incarnation incarnation, LongSupplier configurationVersion) {
         this.self = self;
@@ -19,15 +21,15 @@
         this.configurationVersion = configurationVersion;
     }
 
-    LinkFrame frame(String expectedNode) {
-        links++;
+    LinkFrame create(String expectedNodeId) {
+        lastLinkNumber++;
         return LinkFrame.newBuilder()
                 .setHello(
                         LinkHello.newBuilder()
                                 .setNodeId(self.value())
                                 .setIncarnation(incarnation.value())
-                                .setLinkNumber(links)
-                                .setExpectedNodeId(expectedNode)
+                                .setLinkNumber(lastLinkNumber)
+                                .setExpectedNodeId(expectedNodeId)
                                 .setConfigurationVersion(configurationVersion.getAsLong()))
                 .build();
     }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/link/IncomingLink.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/link/IncomingLink.java
@@ -16,33 +16,33 @@
 /**
  * The target's end of one link. Confined to the event loop.
  *
- * <p>Invariants: frames before the hello, and frames after the link was fenced, are not taken; nor
- * are calls that are meant for another node, which had this address before.
+ * <p>Invariants: frames before the hello and frames after the link was fenced are not processed;
+ * nor are calls that are meant for another node, which had this address before.
  */
 final class IncomingLink extends SimpleChannelInboundHandler<LinkFrame>
         implements CallOutcomeListener {
     private final LinkServer server;
-    private final IncomingLinkHandler receiver;
+    private final IncomingLinkHandler handler;
     private ChannelHandlerContext context;
     private EntryId entry;
-    private long number;
+    private long linkNumber;
     private boolean fenced;
-    private boolean callsTaken;
+    private boolean acceptsCalls;
 
-    IncomingLink(LinkServer server, IncomingLinkHandler receiver) {
+    IncomingLink(LinkServer server, IncomingLinkHandler handler) {
         this.server = server;
-        this.receiver = receiver;
+        this.handler = handler;
     }
 
     EntryId entry() {
         return entry;
     }
 
-    long number() {
-        return number;
+    long linkNumber() {
+        return linkNumber;
     }
 
-    /** Takes no further frame. */
+    /** Ignores all further frames and closes the link. */
     void fence() {
         fenced = true;
         close();
@@ -79,13 +79,13 @@
             return;
         }
         entry = new EntryId(new NodeId(hello.getNodeId()), new Incarnation(hello.getIncarnation()));
-        number = hello.getLinkNumber();
-        LinkHello greeting = receiver.createHello(entry, this);
+        linkNumber = hello.getLinkNumber();
+        LinkHello targetHello = handler.createHello(entry, this);
         String expected = hello.getExpectedNodeId();
-        boolean meant = expected.equals(greeting.getNodeId());
-        callsTaken = meant && server.register(this);
-        write(LinkFrame.newBuilder().setHello(greeting));
-        if (!callsTaken && !expected.isEmpty()) {
+        boolean isIntendedNode = expected.equals(targetHello.getNodeId());
+        acceptsCalls = isIntendedNode && server.register(this);
+        write(LinkFrame.newBuilder().setHello(targetHello));
+        if (!acceptsCalls && !expected.isEmpty()) {
             fence();
         }
     }
@@ -98,24 +98,24 @@
                     write(
                             LinkFrame.newBuilder()
                                     .setFleetNews(
-                                            receiver.createFleetNews(frame.getFleetRequest())));
-            case FLEET_NEWS -> receiver.onFleetNews(frame.getFleetNews());
-            case READER_SIGN -> receiver.onReaderSign(frame.getReaderSign());
+                                            handler.createFleetNews(frame.getFleetRequest())));
+            case FLEET_NEWS -> handler.onFleetNews(frame.getFleetNews());
+            case READER_SIGN -> handler.onReaderSign(frame.getReaderSign());
             default -> {
-                // A frame of a later version.
+                // A frame of a later protocol version.
             }
         }
     }
 
     private void onCallFrame(LinkFrame frame) {
-        if (!callsTaken) {
+        if (!acceptsCalls) {
             close();
         } else if (frame.hasCall()) {
-            receiver.onCall(entry, frame.getCall(), this);
+            handler.onCall(entry, frame.getCall(), this);
         } else if (frame.hasSeal()) {
-            receiver.onSeal(entry, frame.getSeal(), this);
+            handler.onSeal(entry, frame.getSeal(), this);
         } else {
-            receiver.onCancel(entry, frame.getCancel());
+            handler.onCancel(entry, frame.getCancel());
         }
     }
 
@@ -124,7 +124,7 @@
         fenced = true;
         if (entry != null) {
             server.unregister(this);
-            receiver.onLinkClosed(entry, this);
+            handler.onLinkClosed(entry, this);
         }
     }
 
--- a/relay/src/main/java/org/damaskmoor/relay/internal/link/IncomingLinkHandler.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/link/IncomingLinkHandler.java
@@ -8,29 +8,29 @@
 import org.damaskmoor.schema.link.LinkHello;
 import org.damaskmoor.schema.link.ReaderSign;
 
-/** The target's side of links. Confined to the event loop. */
+/** Handles what other nodes send to this one over links. Confined to the event loop. */
 public interface IncomingLinkHandler {
-    /** An entry has opened a link; returns what the target says of itself. */
-    LinkHello createHello(EntryId entry, CallOutcomeListener outcomes);
+    /** An entry opened a link; returns the hello of this node. */
+    LinkHello createHello(EntryId entry, CallOutcomeListener outcomeListener);
 
-    /** A call came. */
-    void onCall(EntryId entry, ForwardedCall call, CallOutcomeListener outcomes);
+    /** An entry sent a call. */
+    void onCall(EntryId entry, ForwardedCall call, CallOutcomeListener outcomeListener);
 
-    /** An entry asks to stop a call for good that it had sent over a lost link. */
-    void onSeal(EntryId entry, CallSeal seal, CallOutcomeListener outcomes);
+    /** An entry seals a call that it had sent over a lost link. */
+    void onSeal(EntryId entry, CallSeal seal, CallOutcomeListener outcomeListener);
 
     /** An entry no longer waits for a call. */
     void onCancel(EntryId entry, CallCancel cancel);
 
-    /** A link ended. */
-    void onLinkClosed(EntryId entry, CallOutcomeListener outcomes);
+    /** A link was closed. */
+    void onLinkClosed(EntryId entry, CallOutcomeListener outcomeListener);
 
-    /** Makes an answer to a peer that asks what the fleet looks like. */
+    /** Creates the answer to a peer that requests fleet news. */
     FleetNews createFleetNews(FleetRequest request);
 
-    /** A peer told what it knows of the fleet. */
+    /** A peer sent what it knows of the fleet. */
     void onFleetNews(FleetNews news);
 
-    /** A node told that it reads the store for its data centre. */
+    /** The store reader of a data centre sent its heartbeat. */
     void onReaderSign(ReaderSign sign);
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/link/LinkDialer.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/link/LinkDialer.java
@@ -11,13 +11,13 @@
 import org.damaskmoor.platform.protocol.TcpKeepAlive;
 import org.damaskmoor.relay.internal.time.Timers;
 
-/** Makes links to other nodes. Confined to the event loop. */
+/** Creates links to other nodes. Confined to the event loop. */
 public final class LinkDialer {
-    /** Longest time to open a connection; a VM without power does not answer. */
+    /** Connect timeout, because a VM without power does not answer. */
     private static final int CONNECT_TIMEOUT_MILLISECONDS = 800;
 
     private final Bootstrap bootstrap;
-    private final HelloFrameFactory hellos;
+    private final HelloFrameFactory helloFrames;
     private final Timers timers;
 
     public LinkDialer(
@@ -27,7 +27,7 @@
             Incarnation incarnation,
             LongSupplier configurationVersion) {
         this.timers = timers;
-        this.hellos = new HelloFrameFactory(self, incarnation, configurationVersion);
+        this.helloFrames = new HelloFrameFactory(self, incarnation, configurationVersion);
         this.bootstrap =
                 new Bootstrap()
                         .group(loop)
@@ -37,16 +37,16 @@
         TcpKeepAlive.enable(bootstrap);
     }
 
-    /** A link that is opened when it is first needed. */
+    /** Creates a link that is opened when it is first needed. */
     public CallLink link(NodeId peer, InetSocketAddress address, LinkListener listener) {
         return new OutgoingLink(
-                peer, address, bootstrap, () -> hellos.frame(peer.value()), timers, listener);
+                peer, address, bootstrap, () -> helloFrames.create(peer.value()), timers, listener);
     }
 
-    /** A link to whichever node is at an address, which only asks for news. */
+    /** Creates a link to whichever node has the address, used only to request fleet news. */
     public CallLink seedLink(InetSocketAddress address, LinkListener listener) {
-        NodeId unknown = new NodeId("at-" + address.getHostString());
+        NodeId placeholder = new NodeId("at-" + address.getHostString());
         return new OutgoingLink(
-                unknown, address, bootstrap, () -> hellos.frame(""), timers, listener);
+                placeholder, address, bootstrap, () -> helloFrames.create(""), timers, listener);
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/link/LinkServer.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/link/LinkServer.java
@@ -15,23 +15,23 @@
 import org.damaskmoor.schema.link.TargetLoad;
 
 /**
- * Takes links from other nodes.
+ * Accepts links from other nodes.
  *
- * <p>Confined to the event loop. Invariant: one link for each entry node; a newer one closes the
- * older, so that a call that is still on its way over the older one is never taken after the entry
- * has asked about it over the newer.
+ * <p>Confined to the event loop. Invariant: one link for each entry node. A newer link closes the
+ * older one, so that a call still in transit on the older one is never accepted after the entry has
+ * sealed it over the newer one.
  */
 public final class LinkServer {
     private final EventLoop loop;
     private final InetSocketAddress address;
-    private final IncomingLinkHandler receiver;
+    private final IncomingLinkHandler handler;
     private final Map<NodeId, IncomingLink> links = new HashMap<>();
-    private Channel listening;
+    private Channel serverChannel;
 
-    public LinkServer(EventLoop loop, InetSocketAddress address, IncomingLinkHandler receiver) {
+    public LinkServer(EventLoop loop, InetSocketAddress address, IncomingLinkHandler handler) {
         this.loop = loop;
         this.address = address;
-        this.receiver = receiver;
+        this.handler = handler;
     }
 
     /** Opens the port. */
@@ -49,34 +49,34 @@
                                     protected void initChannel(Channel channel) {
                                         FrameCodec.add(
                                                 channel,
-                                                new IncomingLink(LinkServer.this, receiver));
+                                                new IncomingLink(LinkServer.this, handler));
                                     }
                                 });
-        return PortBinder.bind(bootstrap, address, channel -> listening = channel);
+        return PortBinder.bind(bootstrap, address, channel -> serverChannel = channel);
     }
 
-    /** Tells all entries the load of this instant. */
+    /** Sends the current load to all entries. */
     public void broadcast(TargetLoad load) {
         links.values().forEach(link -> link.onLoad(load));
     }
 
     /** Closes the port and all links. */
     public void stop() {
-        if (listening != null) {
-            listening.close();
+        if (serverChannel != null) {
+            serverChannel.close();
         }
         Map.copyOf(links).values().forEach(IncomingLink::close);
     }
 
-    /** Makes the link the one of its entry; false when the entry has a newer one. */
+    /** Makes the link the current one of its entry; returns false if the entry has a newer one. */
     boolean register(IncomingLink link) {
-        IncomingLink former = links.get(link.entry().node());
-        if (former != null) {
-            boolean sameLife = former.entry().equals(link.entry());
-            if (sameLife && former.number() >= link.number()) {
+        IncomingLink previous = links.get(link.entry().node());
+        if (previous != null) {
+            boolean sameIncarnation = previous.entry().equals(link.entry());
+            if (sameIncarnation && previous.linkNumber() >= link.linkNumber()) {
                 return false;
             }
-            former.fence();
+            previous.fence();
         }
         links.put(link.entry().node(), link);
         return true;
--- a/relay/src/main/java/org/damaskmoor/relay/internal/link/OutgoingLink.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/link/OutgoingLink.java
@@ -25,73 +25,73 @@
 import org.damaskmoor.schema.link.ReaderSign;
 
 /**
- * The entry's end of a link over TCP: one connection at a time, opened again when it was lost.
+ * The entry's end of a link over TCP: one connection at a time, opened again after it was lost.
  *
- * <p>A connection that is silent while an outcome is awaited is asked for a sign of life, and given
- * up when none comes: connections can go silent for good while new ones work.
+ * <p>A connection that is silent while an outcome is awaited is pinged, and closed if nothing
+ * arrives: connections can stall for good while new ones work.
  *
- * <p>Confined to the event loop. Invariants: each connection has a greater number than the one
- * before; no call is written before the target has said who it is; calls that were never written
- * are told as unsent, calls that were written on a lost connection as lost.
+ * <p>Confined to the event loop. Invariants: each connection has a greater link number than the one
+ * before; no call is written before the target's hello; calls that were never written are reported
+ * as unsent, calls that were written to a lost connection as lost.
  */
 final class OutgoingLink implements CallLink {
-    /** Silence after which a sign of life is asked for; several round trips between regions. */
+    /** Silence after which a ping is sent; several round trips between regions. */
     private static final long PING_AFTER_MILLISECONDS = 300;
 
     /** Silence after a ping at which the connection counts as lost. */
     private static final long LOST_AFTER_MILLISECONDS = 500;
 
-    /** How often awaited connections are looked at. */
-    private static final long WATCH_MILLISECONDS = 100;
+    /** How often a connection is checked for silence while an outcome is awaited. */
+    private static final long CHECK_INTERVAL_MILLISECONDS = 100;
 
-    /** Pause before the next connection; doubles with each failure up to the greatest. */
-    private static final long LEAST_PAUSE_MILLISECONDS = 100;
+    /** Backoff before the next connection; doubles with each failure up to the maximum. */
+    private static final long MIN_BACKOFF_MILLISECONDS = 100;
 
-    private static final long GREATEST_PAUSE_MILLISECONDS = 4000;
+    private static final long MAX_BACKOFF_MILLISECONDS = 4000;
 
-    /** Longest time for the target to say who it is. */
-    private static final long GREETING_TIMEOUT_MILLISECONDS = 800;
+    /** Longest wait for the target's hello. */
+    private static final long HELLO_TIMEOUT_MILLISECONDS = 800;
 
-    /** Calls that wait for a connection. */
-    private static final int MOST_WAITING_CALLS = 64;
+    /** Frames that may be queued until a connection is open. */
+    private static final int MAX_QUEUED_FRAMES = 64;
 
     private final NodeId peer;
     private final InetSocketAddress address;
     private final Bootstrap bootstrap;
-    private final Supplier<LinkFrame> hellos;
+    private final Supplier<LinkFrame> helloFrames;
     private final Timers timers;
     private final LinkListener listener;
-    private final List<LinkFrame> waiting = new ArrayList<>();
-    private final Set<Long> awaited = new HashSet<>();
+    private final List<LinkFrame> queuedFrames = new ArrayList<>();
+    private final Set<Long> awaitedSequences = new HashSet<>();
     private Channel channel;
     private boolean connecting;
-    private boolean greeted;
+    private boolean helloReceived;
     private boolean closed;
-    private boolean watching;
+    private boolean checkScheduled;
     private long targetIncarnation;
-    private long heardAt;
+    private long lastReceivedAt;
     private long pingedAt;
     private long retryAt;
-    private long pause = LEAST_PAUSE_MILLISECONDS;
+    private long backoff = MIN_BACKOFF_MILLISECONDS;
 
     OutgoingLink(
             NodeId peer,
             InetSocketAddress address,
             Bootstrap bootstrap,
-            Supplier<LinkFrame> hellos,
+            Supplier<LinkFrame> helloFrames,
             Timers timers,
             LinkListener listener) {
         this.peer = peer;
         this.address = address;
         this.bootstrap = bootstrap;
-        this.hellos = hellos;
+        this.helloFrames = helloFrames;
         this.timers = timers;
         this.listener = listener;
     }
 
     @Override
     public boolean isUp() {
-        return channel != null && greeted;
+        return channel != null && helloReceived;
     }
 
     @Override
@@ -122,20 +122,20 @@
         connecting = false;
         if (!connected.isSuccess() || closed) {
             connected.channel().close();
-            postpone();
-            refuseWaiting();
+            scheduleRetry();
+            reportQueuedAsUnsent();
             return;
         }
         channel = connected.channel();
-        heardAt = timers.now();
+        lastReceivedAt = timers.now();
         pingedAt = 0;
         Channel opened = channel;
         opened.closeFuture().addListener(done -> onClosed(opened));
-        opened.writeAndFlush(hellos.get());
+        opened.writeAndFlush(helloFrames.get());
         timers.schedule(
-                GREETING_TIMEOUT_MILLISECONDS,
+                HELLO_TIMEOUT_MILLISECONDS,
                 () -> {
-                    if (opened == channel && !greeted) {
+                    if (opened == channel && !helloReceived) {
                         opened.close();
                     }
                 });
@@ -146,29 +146,29 @@
             return;
         }
         channel = null;
-        greeted = false;
-        postpone();
-        boolean callsLost = !awaited.isEmpty();
-        awaited.clear();
-        refuseWaiting();
-        if (callsLost) {
+        helloReceived = false;
+        scheduleRetry();
+        boolean outcomesLost = !awaitedSequences.isEmpty();
+        awaitedSequences.clear();
+        reportQueuedAsUnsent();
+        if (outcomesLost) {
             listener.onLinkLost(peer);
         }
     }
 
-    private void postpone() {
-        retryAt = timers.now() + pause;
-        pause = Math.min(2 * pause, GREATEST_PAUSE_MILLISECONDS);
+    private void scheduleRetry() {
+        retryAt = timers.now() + backoff;
+        backoff = Math.min(2 * backoff, MAX_BACKOFF_MILLISECONDS);
     }
 
-    private void refuseWaiting() {
+    private void reportQueuedAsUnsent() {
         List<ForwardedCall> unsent = new ArrayList<>();
-        for (LinkFrame frame : waiting) {
+        for (LinkFrame frame : queuedFrames) {
             if (frame.hasCall()) {
                 unsent.add(frame.getCall());
             }
         }
-        waiting.clear();
+        queuedFrames.clear();
         if (!unsent.isEmpty()) {
             listener.onUnsent(peer, unsent);
         }
@@ -182,8 +182,8 @@
         if (isUp()) {
             write(frame);
             channel.flush();
-        } else if (opening && waiting.size() < MOST_WAITING_CALLS) {
-            waiting.add(frame);
+        } else if (opening && queuedFrames.size() < MAX_QUEUED_FRAMES) {
+            queuedFrames.add(frame);
         } else {
             timers.execute(() -> listener.onUnsent(peer, List.of(call)));
         }
@@ -191,13 +191,13 @@
 
     @Override
     public void send(CallSeal seal) {
-        writeOrWait(LinkFrame.newBuilder().setSeal(seal).build());
+        writeOrQueue(LinkFrame.newBuilder().setSeal(seal).build());
     }
 
     @Override
     public void send(CallCancel cancel) {
-        awaited.remove(cancel.getSequence());
-        waiting.removeIf(
+        awaitedSequences.remove(cancel.getSequence());
+        queuedFrames.removeIf(
                 frame -> frame.hasCall() && frame.getCall().getSequence() == cancel.getSequence());
         if (isUp()) {
             channel.writeAndFlush(LinkFrame.newBuilder().setCancel(cancel).build());
@@ -206,71 +206,71 @@
 
     @Override
     public void send(FleetNews news) {
-        writeOrWait(LinkFrame.newBuilder().setFleetNews(news).build());
+        writeOrQueue(LinkFrame.newBuilder().setFleetNews(news).build());
     }
 
     @Override
     public void send(ReaderSign sign) {
-        writeOrWait(LinkFrame.newBuilder().setReaderSign(sign).build());
+        writeOrQueue(LinkFrame.newBuilder().setReaderSign(sign).build());
     }
 
     @Override
     public void send(FleetRequest request) {
-        writeOrWait(LinkFrame.newBuilder().setFleetRequest(request).build());
+        writeOrQueue(LinkFrame.newBuilder().setFleetRequest(request).build());
     }
 
-    private void writeOrWait(LinkFrame frame) {
+    private void writeOrQueue(LinkFrame frame) {
         open();
         if (isUp()) {
             write(frame);
             channel.flush();
-        } else if (waiting.size() < MOST_WAITING_CALLS) {
-            waiting.add(frame);
+        } else if (queuedFrames.size() < MAX_QUEUED_FRAMES) {
+            queuedFrames.add(frame);
         }
     }
 
     private void write(LinkFrame frame) {
         if (frame.hasCall()) {
-            await(frame.getCall().getSequence());
+            awaitOutcome(frame.getCall().getSequence());
         } else if (frame.hasSeal()) {
-            await(frame.getSeal().getSequence());
+            awaitOutcome(frame.getSeal().getSequence());
         }
         channel.write(frame);
     }
 
-    private void await(long sequence) {
-        if (awaited.isEmpty()) {
-            heardAt = timers.now();
+    private void awaitOutcome(long sequence) {
+        if (awaitedSequences.isEmpty()) {
+            lastReceivedAt = timers.now();
             pingedAt = 0;
         }
-        awaited.add(sequence);
-        watch();
+        awaitedSequences.add(sequence);
+        scheduleCheck();
     }
 
-    private void watch() {
-        if (!watching) {
-            watching = true;
-            timers.schedule(WATCH_MILLISECONDS, this::look);
+    private void scheduleCheck() {
+        if (!checkScheduled) {
+            checkScheduled = true;
+            timers.schedule(CHECK_INTERVAL_MILLISECONDS, this::checkSilence);
         }
     }
 
-    /** Gives a silent connection up, or asks for a sign of life. */
-    private void look() {
-        watching = false;
-        if (channel == null || awaited.isEmpty()) {
+    /** Pings a silent connection, or closes it if a ping got no response. */
+    private void checkSilence() {
+        checkScheduled = false;
+        if (channel == null || awaitedSequences.isEmpty()) {
             return;
         }
         long now = timers.now();
-        if (pingedAt > heardAt && now - pingedAt >= LOST_AFTER_MILLISECONDS) {
+        if (pingedAt > lastReceivedAt && now - pingedAt >= LOST_AFTER_MILLISECONDS) {
             channel.close();
             return;
         }
-        if (pingedAt <= heardAt && now - heardAt >= PING_AFTER_MILLISECONDS) {
+        if (pingedAt <= lastReceivedAt && now - lastReceivedAt >= PING_AFTER_MILLISECONDS) {
             pingedAt = now;
             channel.writeAndFlush(
                     LinkFrame.newBuilder().setPing(LinkPing.getDefaultInstance()).build());
         }
-        watch();
+        scheduleCheck();
     }
 
     @Override
@@ -279,42 +279,43 @@
         if (channel != null) {
             channel.close();
         }
-        refuseWaiting();
+        reportQueuedAsUnsent();
     }
 
     private void onFrame(LinkFrame frame) {
-        heardAt = timers.now();
+        lastReceivedAt = timers.now();
         switch (frame.getBodyCase()) {
             case HELLO -> onHello(frame.getHello());
             case ANSWER -> {
-                awaited.remove(frame.getAnswer().getSequence());
+                awaitedSequences.remove(frame.getAnswer().getSequence());
                 listener.outcomeListener(peer).onAnswered(frame.getAnswer());
             }
             case REFUSAL -> {
-                awaited.remove(frame.getRefusal().getSequence());
+                awaitedSequences.remove(frame.getRefusal().getSequence());
                 listener.outcomeListener(peer).onRefused(frame.getRefusal());
             }
             case FAILURE -> {
-                awaited.remove(frame.getFailure().getSequence());
+                awaitedSequences.remove(frame.getFailure().getSequence());
                 listener.outcomeListener(peer).onFailed(frame.getFailure());
             }
             case SEALED -> listener.outcomeListener(peer).onSealed(frame.getSealed());
             case LOAD -> listener.outcomeListener(peer).onLoad(frame.getLoad());
             case FLEET_NEWS -> listener.onFleetNews(frame.getFleetNews());
             default -> {
-                // A pong, or a frame of a later version: a sign of life.
+                // A pong or a frame of a later protocol version; receiving it shows that the link
+                // works.
             }
         }
     }
 
     private void onHello(LinkHello hello) {
-        greeted = true;
-        pause = LEAST_PAUSE_MILLISECONDS;
+        helloReceived = true;
+        backoff = MIN_BACKOFF_MILLISECONDS;
         targetIncarnation = hello.getIncarnation();
         listener.onHello(peer, hello);
         if (channel != null) {
-            waiting.forEach(this::write);
-            waiting.clear();
+            queuedFrames.forEach(this::write);
+            queuedFrames.clear();
             channel.flush();
         }
     }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/log/EventLog.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/log/EventLog.java
@@ -13,7 +13,7 @@
     /** Starts a line. */
     Line event(String name);
 
-    /** A line that is being made. */
+    /** A line that is being built. */
     interface Line {
         /** Adds a pair. */
         Line with(String key, Object value);
--- a/relay/src/main/java/org/damaskmoor/relay/internal/log/RateLimitedEventLog.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/log/RateLimitedEventLog.java
@@ -8,30 +8,33 @@
 import org.damaskmoor.relay.internal.time.Timers;
 
 /**
- * Hands lines to a thread that writes them, in batches.
+ * An event log that writes lines in batches, on a thread of its own.
  *
  * <p>Confined to the event loop, but for the writing thread. Invariants: the event loop never waits
- * for the output; each kind of event has at most {@link #MOST_LINES_PER_SECOND} lines a second;
- * what is left out is counted in a line of its own.
+ * for the output; each kind of event has at most {@link #MAX_LINES_PER_SECOND} lines a second;
+ * dropped lines are counted in a line of their own.
  */
 public final class RateLimitedEventLog implements EventLog {
-    /** Lines of one kind in a second; enough to follow single requests in ordinary load. */
-    private static final int MOST_LINES_PER_SECOND = 200;
+    /** Lines of one kind a second; enough to follow single requests at ordinary load. */
+    private static final int MAX_LINES_PER_SECOND = 200;
 
-    /** Lines that wait for the writer; about one second of them at the bound of all kinds. */
+    /**
+     * Lines that may wait for the writer; about one second's worth when all kinds are at their
+     * limit.
+     */
     private static final int RING_LINES = 2048;
 
     private static final long BATCH_MILLISECONDS = 200;
-    private static final long SECOND = 1000;
-    private static final int USUAL_LINE_LENGTH = 160;
+    private static final long SECOND_MILLISECONDS = 1000;
+    private static final int TYPICAL_LINE_LENGTH = 160;
 
     private final Timers timers;
     private final PrintStream output;
     private final ArrayBlockingQueue<String> ring = new ArrayBlockingQueue<>(RING_LINES);
     private final Map<String, Integer> written = new HashMap<>();
-    private final Map<String, Integer> leftOut = new HashMap<>();
+    private final Map<String, Integer> dropped = new HashMap<>();
     private final Thread writer;
-    private boolean flushPlanned;
+    private boolean flushScheduled;
     private long secondStartedAt;
     private volatile boolean closed;
 
@@ -45,16 +48,19 @@
 
     @Override
     public Line event(String name) {
-        countSecond();
+        resetEachSecond();
         int lines = written.merge(name, 1, Integer::sum);
-        if (lines > MOST_LINES_PER_SECOND) {
-            leftOut.merge(name, 1, Integer::sum);
-            return NoLine.INSTANCE;
+        if (lines > MAX_LINES_PER_SECOND) {
+            dropped.merge(name, 1, Integer::sum);
+            return DroppedLine.INSTANCE;
         }
         return new TextLine(name);
     }
 
-    /** Writes what waits and ends. Waits for the writer, for a planned stop only. */
+    /**
+     * Lets the writer write the waiting lines and end. Blocks for a short time, so use it only in a
+     * planned stop.
+     */
     public void close() {
         closed = true;
         LockSupport.unpark(writer);
@@ -65,16 +71,16 @@
         }
     }
 
-    private void countSecond() {
+    private void resetEachSecond() {
         long now = timers.now();
-        if (now - secondStartedAt < SECOND) {
+        if (now - secondStartedAt < SECOND_MILLISECONDS) {
             return;
         }
         secondStartedAt = now;
         written.clear();
-        Map<String, Integer> told = Map.copyOf(leftOut);
-        leftOut.clear();
-        told.forEach(
+        Map<String, Integer> reported = Map.copyOf(dropped);
+        dropped.clear();
+        reported.forEach(
                 (name, count) ->
                         new TextLine("lines-left-out")
                                 .with("kind", name)
@@ -84,14 +90,14 @@
 
     private void add(String line) {
         if (!ring.offer(line)) {
-            leftOut.merge("ring-full", 1, Integer::sum);
+            dropped.merge("ring-full", 1, Integer::sum);
         }
-        if (!flushPlanned) {
-            flushPlanned = true;
+        if (!flushScheduled) {
+            flushScheduled = true;
             timers.schedule(
                     BATCH_MILLISECONDS,
                     () -> {
-                        flushPlanned = false;
+                        flushScheduled = false;
                         LockSupport.unpark(writer);
                     });
         }
@@ -117,7 +123,7 @@
     }
 
     private final class TextLine implements Line {
-        private final StringBuilder text = new StringBuilder(USUAL_LINE_LENGTH);
+        private final StringBuilder text = new StringBuilder(TYPICAL_LINE_LENGTH);
 
         TextLine(String name) {
             text.append("time=").append(System.currentTimeMillis()).append(" event=").append(name);
@@ -147,8 +153,8 @@
         }
     }
 
-    private static final class NoLine implements Line {
-        static final NoLine INSTANCE = new NoLine();
+    private static final class DroppedLine implements Line {
+        static final DroppedLine INSTANCE = new DroppedLine();
 
         @Override
         public Line with(String key, Object value) {
@@ -162,7 +168,7 @@
 
         @Override
         public void write() {
-            // Left out; counted by the log.
+            // Dropped; the log has counted it.
         }
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/metrics/RelayMetrics.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/metrics/RelayMetrics.java
@@ -10,7 +10,7 @@
 import java.util.function.LongSupplier;
 
 /**
- * Counters and latency histograms of a relay, and the text in which they are served.
+ * Counters, gauges and latency histograms of a relay, and their text format.
  *
  * <p>Thread-safe.
  */
@@ -26,7 +26,7 @@
         registry.counter(name).inc();
     }
 
-    /** Counts one event of a kind; kinds must be few. */
+    /** Counts one event of a kind. Each kind is a counter of its own, so there must be few. */
     public void count(String name, String kind) {
         registry.counter(name + "." + kind).inc();
     }
@@ -36,7 +36,7 @@
         histogram(name).update(milliseconds);
     }
 
-    /** Serves a value that is read when it is asked for. */
+    /** Registers a gauge, whose value is read whenever metrics are rendered. */
     public void gauge(String name, LongSupplier value) {
         gauges.put(name, value);
     }
@@ -50,7 +50,7 @@
                                         WINDOW_SECONDS, TimeUnit.SECONDS)));
     }
 
-    /** All metrics, one a line. */
+    /** Renders all metrics, one a line. */
     public String render() {
         StringBuilder text = new StringBuilder();
         registry.getCounters()
--- a/relay/src/main/java/org/damaskmoor/relay/internal/net/Addresses.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/net/Addresses.java
@@ -2,14 +2,14 @@
 
 import java.net.InetSocketAddress;
 
-/** Reads and writes addresses as HOST:PORT. Thread-safe: pure functions. */
+/** Parses and formats addresses as HOST:PORT. Thread-safe: pure functions. */
 public final class Addresses {
     private Addresses() {}
 
     /**
-     * Reads an address.
+     * Parses an address.
      *
-     * @throws IllegalArgumentException when it has another form, or the port is out of range
+     * @throws IllegalArgumentException if it has another form, or the port is out of range
      */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
@@ -20,7 +20,7 @@
         return new InetSocketAddress(text.substring(0, colon), port);
     }
 
-    /** The address as HOST:PORT. */
+    /** Formats an address as HOST:PORT. */
     public static String format(InetSocketAddress address) {
         return address.getHostString() + ":" + address.getPort();
     }
