--- a/relay/src/main/java/org/damaskmoor/relay/internal/net/ForwardedHeaders.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/net/ForwardedHeaders.java
@@ -11,10 +11,10 @@
 import org.damaskmoor.platform.protocol.HeaderNames;
 import org.damaskmoor.schema.mesh.HeaderField;
 
-/** Which headers are passed on. Thread-safe: pure functions. */
+/** Selects the headers that are passed on. Thread-safe: pure functions. */
 public final class ForwardedHeaders {
-    /** Headers that concern one connection, and the length, which each connection sets itself. */
-    private static final Set<String> ONE_CONNECTION =
+    /** Hop-by-hop headers, and the length, which each connection sets itself. */
+    private static final Set<String> HOP_BY_HOP =
             Set.of(
                     "connection",
                     "keep-alive",
@@ -28,38 +28,40 @@
                     "expect",
                     "content-length");
 
-    /** Headers of a request that the nodes set themselves. */
-    private static final Set<String> SET_FOR_UPSTREAM =
+    /** Request headers that the nodes set themselves. */
+    private static final Set<String> SET_BY_NODES =
             lowerCase(
                     HeaderNames.REQUEST_ID,
                     HeaderNames.REMAINING_MILLISECONDS,
                     HeaderNames.EXPECTED_UPSTREAM,
                     HeaderNames.CALLER_SERVICE);
 
-    /** Headers of an answer that concern the nodes alone, or that the entry sets again. */
+    /** Answer headers that are meant for the nodes only, or that the entry sets again. */
     private static final Set<String> NOT_FOR_CALLERS =
             lowerCase(HeaderNames.UPSTREAM_LOAD, HeaderNames.REQUEST_ID);
 
     private ForwardedHeaders() {}
 
-    /** The headers of a caller's request that the upstream gets as they are. */
+    /** The headers of a caller's request that are passed on to the upstream. */
     public static List<HeaderField> ofRequest(HttpHeaders headers) {
-        return fields(headers, SET_FOR_UPSTREAM);
+        return fields(headers, SET_BY_NODES);
     }
 
-    /** The headers of an upstream's answer that the caller gets as they are. */
+    /** The headers of an upstream's answer that are passed on to the caller. */
     public static List<HeaderField> ofAnswer(HttpHeaders headers) {
         return fields(headers, NOT_FOR_CALLERS);
     }
 
-    private static List<HeaderField> fields(HttpHeaders headers, Set<String> own) {
-        Set<String> named = namedByConnection(headers);
+    private static List<HeaderField> fields(HttpHeaders headers, Set<String> excluded) {
+        Set<String> namedInConnection = namedInConnection(headers);
         List<HeaderField> fields = new ArrayList<>(headers.size());
         for (Map.Entry<String, String> header : headers) {
             String name = header.getKey().toLowerCase(Locale.ROOT);
-            boolean passed =
-                    !ONE_CONNECTION.contains(name) && !own.contains(name) && !named.contains(name);
-            if (passed) {
+            boolean forwarded =
+                    !HOP_BY_HOP.contains(name)
+                            && !excluded.contains(name)
+                            && !namedInConnection.contains(name);
+            if (forwarded) {
                 fields.add(
                         HeaderField.newBuilder()
                                 .setName(header.getKey())
@@ -70,17 +72,17 @@
         return fields;
     }
 
-    private static Set<String> namedByConnection(HttpHeaders headers) {
+    private static Set<String> namedInConnection(HttpHeaders headers) {
         if (!headers.contains(HttpHeaderNames.CONNECTION)) {
             return Set.of();
         }
-        Set<String> named = new HashSet<>();
+        Set<String> namedInConnection = new HashSet<>();
         for (String value : headers.getAll(HttpHeaderNames.CONNECTION)) {
             for (String name : value.split(",", -1)) {
-                named.add(name.trim().toLowerCase(Locale.ROOT));
+                namedInConnection.add(name.trim().toLowerCase(Locale.ROOT));
             }
         }
-        return named;
+        return namedInConnection;
     }
 
     private static Set<String> lowerCase(String... names) {
--- a/relay/src/main/java/org/damaskmoor/relay/internal/net/PortBinder.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/net/PortBinder.java
@@ -8,14 +8,14 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
 
-/** Opens ports. Thread-safe: pure functions. */
+/** Binds server sockets. Thread-safe: pure functions. */
 public final class PortBinder {
     private PortBinder() {}
 
     /**
-     * Opens a port; fails with the address and the cause when it can't be opened.
+     * Binds a port; fails with the address and the cause if it can't be bound.
      *
-     * @param opened takes the listening channel, on the event loop
+     * @param opened receives the listening channel, on the event loop
      */
     public static CompletableFuture<Void> bind(
             ServerBootstrap bootstrap, InetSocketAddress address, Consumer<Channel> opened) {
@@ -30,7 +30,9 @@
                             } else {
                                 started.completeExceptionally(
                                         new IOException(
-                                                "The address " + address + " can't be opened.",
+                                                "The address "
+                                                        + address
+                                                        + " can't be bound; is the port in use?",
                                                 bound.cause()));
                             }
                         });
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/CallRunner.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/CallRunner.java
@@ -14,83 +14,87 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * Hands calls to the upstream and takes their outcomes.
+ * Hands calls over to the upstream and processes their outcomes.
  *
- * <p>Confined to the event loop. Invariants: only what the ledger permits is handed over; each call
- * that was handed over leaves the room once, and is told one outcome.
+ * <p>Confined to the event loop. Invariants: a call is handed over only if the ledger permits it;
+ * each call that was handed over is removed once from the running calls of the queue, and its entry
+ * gets one outcome.
  */
 final class CallRunner {
-    /** How long after its deadline an upstream may still be about to answer. */
+    /** Time after the deadline of a call for which an answer is still awaited. */
     private static final long ANSWER_GRACE_MILLISECONDS = 150;
 
     private static final int FIRST_SERVER_ERROR = 500;
 
-    private final OpenCalls open;
-    private final AdmissionQueue<TargetCall> room;
+    private final OpenCalls openCalls;
+    private final AdmissionQueue<TargetCall> queue;
     private final TargetLedger ledger;
-    private final UpstreamTracker register;
+    private final UpstreamTracker tracker;
     private final UpstreamConnectionPool pool;
-    private final SlownessProbe speed;
-    private final UpstreamHealthMonitor watch;
-    private final TargetReplySender replies;
-    private final TargetCallbacks events;
+    private final SlownessProbe slownessProbe;
+    private final UpstreamHealthMonitor healthMonitor;
+    private final TargetReplySender replySender;
+    private final TargetCallbacks callbacks;
     private final Timers timers;
-    private final Runnable startNext;
-    private final UpstreamConcurrencyLimit limit = new UpstreamConcurrencyLimit();
+    private final Runnable startQueuedCalls;
+    private final UpstreamConcurrencyLimit upstreamLimit = new UpstreamConcurrencyLimit();
 
     CallRunner(
-            OpenCalls open,
-            AdmissionQueue<TargetCall> room,
+            OpenCalls openCalls,
+            AdmissionQueue<TargetCall> queue,
             TargetLedger ledger,
-            UpstreamTracker register,
+            UpstreamTracker tracker,
             UpstreamConnectionPool pool,
-            SlownessProbe speed,
-            UpstreamHealthMonitor watch,
-            TargetReplySender replies,
-            TargetCallbacks events,
+            SlownessProbe slownessProbe,
+            UpstreamHealthMonitor healthMonitor,
+            TargetReplySender replySender,
+            TargetCallbacks callbacks,
             Timers timers,
-            Runnable startNext) {
-        this.open = open;
-        this.room = room;
+            Runnable startQueuedCalls) {
+        this.openCalls = openCalls;
+        this.queue = queue;
         this.ledger = ledger;
-        this.register = register;
+        this.tracker = tracker;
         this.pool = pool;
-        this.speed = speed;
-        this.watch = watch;
-        this.replies = replies;
-        this.events = events;
+        this.slownessProbe = slownessProbe;
+        this.healthMonitor = healthMonitor;
+        this.replySender = replySender;
+        this.callbacks = callbacks;
         this.timers = timers;
-        this.startNext = startNext;
+        this.startQueuedCalls = startQueuedCalls;
     }
 
-    /** How many calls may run at once now. */
+    /** Calls that may currently run at once. */
     int concurrencyLimit() {
-        int slots = register.current().map(UpstreamAnnouncement::slots).orElse(1);
-        return limit.limitFor(slots, timers.now());
+        int slots = tracker.current().map(UpstreamAnnouncement::slots).orElse(1);
+        return upstreamLimit.limitFor(slots, timers.now());
     }
 
-    /** Hands over a call that the room has let go. */
+    /** Hands over a call that the admission queue has released. */
     void handOver(TargetCall call) {
         long now = timers.now();
-        if (!register.mayDispatch(now)) {
-            room.onAbandoned();
-            open.refuse(call, RefusalReason.DRAINING, 0);
+        if (!tracker.mayDispatch(now)) {
+            queue.onAbandoned();
+            openCalls.refuse(call, RefusalReason.DRAINING, 0);
             return;
         }
         if (ledger.handOver(call.id, TimeUnit.MILLISECONDS.toNanos(now)) != HandOverResult.RUN) {
-            room.onAbandoned();
-            replies.sendRefusal(call, RefusalReason.DEADLINE_PASSED, 0);
-            open.remove(call);
+            queue.onAbandoned();
+            replySender.sendRefusal(call, RefusalReason.DEADLINE_PASSED, 0);
+            openCalls.remove(call);
             return;
         }
         call.startedAt = now;
-        SlowdownDetector slowness = speed.slowdownDetector();
-        call.slownessAtStart = slowness.hasReading() ? slowness.lastReading() : 0;
-        call.runningAtStart = room.running();
-        UpstreamId upstream = register.current().get().id();
+        SlowdownDetector detector = slownessProbe.slowdownDetector();
+        call.slownessAtStart = detector.hasReading() ? detector.lastReading() : 0;
+        call.runningAtStart = queue.running();
+        UpstreamId upstream = tracker.current().get().id();
         call.sent =
                 pool.send(
-                        call.call, upstream, call.deadlineAt, outcome -> onOutcome(call, outcome));
+                        call.message,
+                        upstream,
+                        call.deadlineAt,
+                        outcome -> onOutcome(call, outcome));
         call.deadlineTimer =
                 timers.schedule(
                         call.deadlineAt + ANSWER_GRACE_MILLISECONDS - now,
@@ -101,69 +105,70 @@
         long now = timers.now();
         call.deadlineTimer.cancel();
         if (outcome instanceof UpstreamOutcome.Answered answered) {
-            answered.load().ifPresent(speed::onLoad);
+            answered.load().ifPresent(slownessProbe::onLoad);
             onAnswered(call, answered, now);
         } else if (outcome instanceof UpstreamOutcome.NotRun notRun) {
-            notRun.load().ifPresent(speed::onLoad);
+            notRun.load().ifPresent(slownessProbe::onLoad);
             onNotRun(call, notRun, now);
         } else if (outcome instanceof UpstreamOutcome.Failed failed) {
             onFailed(call, failed.detail());
         }
-        startNext.run();
+        startQueuedCalls.run();
     }
 
     private void onAnswered(TargetCall call, UpstreamOutcome.Answered answered, long now) {
-        long took = now - call.startedAt;
+        long durationMilliseconds = now - call.startedAt;
         boolean failed = answered.status() >= FIRST_SERVER_ERROR;
-        register.markUp();
-        room.onAnswered((double) took);
+        tracker.markUp();
+        queue.onAnswered((double) durationMilliseconds);
         if (!failed) {
-            limit.onAnswered(call, took);
+            upstreamLimit.onAnswered(call, durationMilliseconds);
         }
-        events.onAnswered(call.fingerprint());
-        boolean failedBelow = failed && events.failedSince(call.startedAt);
-        ForwardedAnswer answer = replies.buildAnswer(call, answered, took, failedBelow);
-        boolean kept = call.call.getNonIdempotent();
-        ledger.answered(call.id, kept ? answer.toByteString() : ByteString.EMPTY);
-        open.remove(call);
-        call.outcomes.onAnswered(answer);
+        callbacks.onAnswered(call.fingerprint());
+        boolean failedBelow = failed && callbacks.failedSince(call.startedAt);
+        ForwardedAnswer answer =
+                replySender.buildAnswer(call, answered, durationMilliseconds, failedBelow);
+        boolean keepAnswer = call.message.getNonIdempotent();
+        ledger.answered(call.id, keepAnswer ? answer.toByteString() : ByteString.EMPTY);
+        openCalls.remove(call);
+        call.outcomeListener.onAnswered(answer);
     }
 
     private void onNotRun(TargetCall call, UpstreamOutcome.NotRun notRun, long now) {
-        room.onAbandoned();
+        queue.onAbandoned();
         ledger.returned(call.id);
         switch (notRun.cause()) {
             case SHED -> {
-                limit.onShed(now);
-                room.setLimit(concurrencyLimit());
-                open.refuse(call, RefusalReason.OVERLOADED, room.retryAfterMilliseconds());
+                upstreamLimit.onShed(now);
+                queue.setLimit(concurrencyLimit());
+                openCalls.refuse(call, RefusalReason.OVERLOADED, queue.retryAfterMilliseconds());
             }
             case OTHER_UPSTREAM -> {
-                watch.markDown("another upstream has the address");
-                open.refuse(call, RefusalReason.STALE_INCARNATION, 0);
+                healthMonitor.markDown("another upstream has the address");
+                openCalls.refuse(call, RefusalReason.STALE_INCARNATION, 0);
             }
             default -> {
-                watch.markDown("no connection");
-                open.refuse(call, RefusalReason.UPSTREAM_UNREACHABLE, 0);
+                healthMonitor.markDown("no connection");
+                openCalls.refuse(call, RefusalReason.UPSTREAM_UNREACHABLE, 0);
             }
         }
     }
 
     private void onFailed(TargetCall call, String detail) {
-        room.onAbandoned();
+        queue.onAbandoned();
         ledger.failed(call.id);
-        open.remove(call);
-        replies.sendFailure(call, detail);
-        watch.onFailure(call.fingerprint());
+        openCalls.remove(call);
+        replySender.sendFailure(call, detail);
+        healthMonitor.onFailure(call.fingerprint());
     }
 
-    /** The upstream has not answered in time: it is not waited for any longer. */
+    /** Abandons a call that the upstream did not answer in time. */
     private void onDeadlinePassed(TargetCall call) {
-        if (!open.contains(call) || !call.isRunning()) {
+        if (!openCalls.contains(call) || !call.isRunning()) {
             return;
         }
         call.sent.abandon();
         onFailed(call, "no answer before the deadline");
-        startNext.run();
+        startQueuedCalls.run();
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/OpenCalls.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/OpenCalls.java
@@ -13,16 +13,16 @@
 /**
  * The calls at a target that have not ended. Confined to the event loop.
  *
- * <p>Invariant: a call that was refused has not been handed over, by the ledger's word.
+ * <p>Invariant: a refused call has not been handed over, which the ledger guarantees.
  */
 final class OpenCalls {
     private final TargetLedger ledger;
-    private final TargetReplySender replies;
+    private final TargetReplySender replySender;
     private final Map<RequestId, TargetCall> calls = new HashMap<>();
 
-    OpenCalls(TargetLedger ledger, TargetReplySender replies) {
+    OpenCalls(TargetLedger ledger, TargetReplySender replySender) {
         this.ledger = ledger;
-        this.replies = replies;
+        this.replySender = replySender;
     }
 
     void add(TargetCall call) {
@@ -45,12 +45,12 @@
         return calls.isEmpty();
     }
 
-    /** All of them, in a list of the caller's own. */
+    /** A copy of all open calls. */
     List<TargetCall> all() {
         return new ArrayList<>(calls.values());
     }
 
-    /** The requests that the upstream runs. */
+    /** The requests that the upstream is running. */
     Collection<RequestFingerprint> runningRequests() {
         List<RequestFingerprint> running = new ArrayList<>();
         for (TargetCall call : calls.values()) {
@@ -61,10 +61,10 @@
         return running;
     }
 
-    /** Ends a call that was not handed over, and tells so. */
+    /** Removes a call that was not handed over and sends its entry a refusal. */
     void refuse(TargetCall call, RefusalReason reason, long retryAfterMilliseconds) {
         ledger.refuse(call.id);
         remove(call);
-        replies.sendRefusal(call, reason, retryAfterMilliseconds);
+        replySender.sendRefusal(call, reason, retryAfterMilliseconds);
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/RecentFailures.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/RecentFailures.java
@@ -6,16 +6,16 @@
 import org.damaskmoor.core.quarantine.RequestFingerprint;
 
 /**
- * Requests that got no whole answer a moment ago: when the upstream turns out to have crashed, one
- * of them may have done it. Times are in milliseconds. Confined to the event loop.
+ * Requests that recently got no complete answer. If the upstream turns out to have crashed, one of
+ * them may have caused it. Times are in milliseconds. Confined to the event loop.
  *
- * <p>Invariant: holds at most {@link #MOST_FAILURES}.
+ * <p>Invariant: holds at most {@link #MAX_FAILURES}.
  */
 final class RecentFailures {
-    /** Connections of a crashed upstream end within this time. */
-    private static final long MEMORY_MILLISECONDS = 1000;
+    /** All connections of a crashed upstream close within this time. */
+    private static final long RETENTION_MILLISECONDS = 1000;
 
-    private static final int MOST_FAILURES = 64;
+    private static final int MAX_FAILURES = 64;
 
     private final ArrayDeque<Failure> failures = new ArrayDeque<>();
 
@@ -23,16 +23,16 @@
 
     void add(RequestFingerprint request, long now) {
         failures.addLast(new Failure(request, now));
-        if (failures.size() > MOST_FAILURES) {
+        if (failures.size() > MAX_FAILURES) {
             failures.removeFirst();
         }
     }
 
-    /** The requests of the last moment, in a list of the caller's own. */
+    /** The requests that failed recently, in a new mutable list. */
     List<RequestFingerprint> recent(long now) {
         List<RequestFingerprint> recent = new ArrayList<>();
         for (Failure failure : failures) {
-            if (now - failure.at <= MEMORY_MILLISECONDS) {
+            if (now - failure.at <= RETENTION_MILLISECONDS) {
                 recent.add(failure.request);
             }
         }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/SlownessProbe.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/SlownessProbe.java
@@ -9,94 +9,97 @@
 import org.damaskmoor.relay.internal.time.Timers;
 
 /**
- * Asks the upstream how fast its VM is at this instant, before calls are started on it.
+ * Sends health checks to the upstream, to learn how slow its VM currently is before calls are
+ * started on it.
  *
- * <p>Confined to the event loop. Invariants: one question at a time, and no more in a second than
- * the bound; a call that waits for the word is offered once, also when none comes.
+ * <p>Confined to the event loop. Invariants: one probe at a time, and no more a second than the
+ * configured rate; a deferred call is offered once, whether or not the probe gets an answer.
  */
 final class SlownessProbe {
     private final UpstreamConnectionPool pool;
-    private final TokenBucket bound;
-    private final TargetCallbacks events;
+    private final TokenBucket rateLimit;
+    private final TargetCallbacks callbacks;
     private final Timers timers;
     private final Consumer<TargetCall> offer;
-    private final Runnable afterwards;
-    private final SlowdownDetector moments = new SlowdownDetector();
-    private final List<TargetCall> unsure = new ArrayList<>();
-    private boolean asking;
+    private final Runnable afterProbe;
+    private final SlowdownDetector detector = new SlowdownDetector();
+    private final List<TargetCall> deferred = new ArrayList<>();
+    private boolean probing;
 
     /**
-     * Creates checks of an upstream of which nothing is known.
+     * Creates a probe for an upstream of unknown slowness.
      *
-     * @param offer takes the calls that have waited for the word
-     * @param afterwards runs after each word
+     * @param offer receives deferred calls when the probe has ended
+     * @param afterProbe runs after each probe
      */
     SlownessProbe(
             UpstreamConnectionPool pool,
-            TokenBucket bound,
-            TargetCallbacks events,
+            TokenBucket rateLimit,
+            TargetCallbacks callbacks,
             Timers timers,
             Consumer<TargetCall> offer,
-            Runnable afterwards) {
+            Runnable afterProbe) {
         this.pool = pool;
-        this.bound = bound;
-        this.events = events;
+        this.rateLimit = rateLimit;
+        this.callbacks = callbacks;
         this.timers = timers;
         this.offer = offer;
-        this.afterwards = afterwards;
+        this.afterProbe = afterProbe;
     }
 
-    /** The speed of the VM, as far as it was told. */
+    /** The slowness readings of the VM. */
     SlowdownDetector slowdownDetector() {
-        return moments;
+        return detector;
     }
 
-    /** Takes a call until the speed is known; false when it is known or can't be asked for now. */
+    /**
+     * Defers a call until a probe has ended; returns false if no probe is needed or possible now.
+     */
     boolean deferUntilProbed(TargetCall call) {
         if (!probeIfStale()) {
             return false;
         }
-        unsure.add(call);
+        deferred.add(call);
         return true;
     }
 
-    /** Whether the speed is asked for now, so that nothing should be started before the word. */
+    /** Probes if the last reading is stale; returns whether calls should wait for the result. */
     boolean probeIfStale() {
-        return moments.hasReading() && !moments.isFresh(timers.now()) && probe();
+        return detector.hasReading() && !detector.isFresh(timers.now()) && probe();
     }
 
-    /** Asks; false when that can't be done now. */
+    /** Sends a probe unless one is pending; returns false if none can be sent now. */
     boolean probe() {
-        if (asking) {
+        if (probing) {
             return true;
         }
-        String path = events.healthPath();
-        if (path.isEmpty() || !bound.tryAcquire(timers.now())) {
+        String path = callbacks.healthPath();
+        if (path.isEmpty() || !rateLimit.tryAcquire(timers.now())) {
             return false;
         }
-        asking = true;
-        pool.checkHealth(path, this::onWord);
+        probing = true;
+        pool.checkHealth(path, this::onProbed);
         return true;
     }
 
-    /** The upstream told its load with an answer. */
+    /** Records the load that the upstream reported with an answer. */
     void onLoad(UpstreamLoad load) {
         if (load.slowness() > 0) {
-            moments.onReading(load.slowness(), timers.now());
+            detector.onReading(load.slowness(), timers.now());
         }
     }
 
-    /** Forgets a call that is not wanted any more. */
+    /** Drops a deferred call that is no longer wanted. */
     void remove(TargetCall call) {
-        unsure.remove(call);
+        deferred.remove(call);
     }
 
-    private void onWord(Optional<UpstreamLoad> load) {
-        asking = false;
+    private void onProbed(Optional<UpstreamLoad> load) {
+        probing = false;
         load.ifPresent(this::onLoad);
-        List<TargetCall> waited = List.copyOf(unsure);
-        unsure.clear();
-        waited.forEach(offer);
-        afterwards.run();
+        List<TargetCall> released = List.copyOf(deferred);
+        deferred.clear();
+        released.forEach(offer);
+        afterProbe.run();
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetCall.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetCall.java
@@ -7,26 +7,26 @@
 import org.damaskmoor.relay.internal.time.Timers;
 import org.damaskmoor.schema.link.ForwardedCall;
 
-/** A call at its target, until it has ended. Confined to the event loop. */
+/** State of a call at its target until it has ended. Confined to the event loop. */
 final class TargetCall {
     final RequestId id;
-    final ForwardedCall call;
+    final ForwardedCall message;
     final long arrivedAt;
     final long deadlineAt;
     private RequestFingerprint fingerprint;
-    CallOutcomeListener outcomes;
-    UpstreamConnectionPool.Sent sent;
+    CallOutcomeListener outcomeListener;
+    UpstreamConnectionPool.InFlightCall sent;
     Timers.Cancellation deadlineTimer = () -> {};
     long startedAt;
     double slownessAtStart;
     int runningAtStart;
 
-    TargetCall(RequestId id, ForwardedCall call, CallOutcomeListener outcomes, long now) {
+    TargetCall(RequestId id, ForwardedCall message, CallOutcomeListener outcomeListener, long now) {
         this.id = id;
-        this.call = call;
-        this.outcomes = outcomes;
+        this.message = message;
+        this.outcomeListener = outcomeListener;
         this.arrivedAt = now;
-        this.deadlineAt = now + call.getRemainingMilliseconds();
+        this.deadlineAt = now + message.getRemainingMilliseconds();
     }
 
     boolean isRunning() {
@@ -37,19 +37,22 @@
         if (fingerprint == null) {
             fingerprint =
                     RequestFingerprint.of(
-                            call.getMethod(), call.getTarget(), call.getBody().toByteArray(), "");
+                            message.getMethod(),
+                            message.getTarget(),
+                            message.getBody().toByteArray(),
+                            "");
         }
         return fingerprint;
     }
 
-    QueuedCall<TargetCall> toWaitingCall() {
+    QueuedCall<TargetCall> toQueuedCall() {
         return new QueuedCall<>(
                 this,
-                call.getPriority(),
-                arrivedAt + call.getObjectiveMilliseconds(),
+                message.getPriority(),
+                arrivedAt + message.getObjectiveMilliseconds(),
                 deadlineAt,
-                call.getUsualMilliseconds(),
-                call.getSpareMilliseconds(),
-                call.getLastChoice());
+                message.getUsualMilliseconds(),
+                message.getSpareMilliseconds(),
+                message.getLastChoice());
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetCallHandler.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetCallHandler.java
@@ -33,84 +33,87 @@
 import org.damaskmoor.schema.mesh.SealState;
 
 /**
- * The target's side of calls: decides on each with the load of this instant and hands it to the
- * upstream, to which it is the only way.
+ * Handles calls at the target: admits, queues or refuses each by the current load of the upstream,
+ * and passes admitted calls to it. Calls reach the upstream only through this class.
  *
- * <p>Confined to the event loop. Invariants: a call ends in one of answer, refusal and failure; a
- * refused call was not run by the upstream and never will be; no call is handed over after the
- * drain time of an upstream that said that it leaves.
+ * <p>Confined to the event loop. Invariants: each call ends in one of answer, refusal and failure;
+ * a refused call was not run by the upstream and never will be; no call is handed over after the
+ * drain time of an upstream that announced that it leaves.
  */
 public final class TargetCallHandler {
-    /** How long an ended call is remembered: longer than any link takes to be found lost. */
-    private static final long REMEMBERED_MILLISECONDS = 30_000;
+    /**
+     * Time for which the ledger remembers an ended call; longer than it takes to detect any lost
+     * link.
+     */
+    private static final long RETENTION_MILLISECONDS = 30_000;
 
-    /** How often waiting calls are looked at while there are any. */
-    private static final long LOOK_MILLISECONDS = 20;
+    /** How often the queue is checked while calls wait in it. */
+    private static final long QUEUE_CHECK_INTERVAL_MILLISECONDS = 20;
 
     private static final double PERCENT = 100;
 
     private final Incarnation incarnation;
-    private final UpstreamTracker register;
+    private final UpstreamTracker tracker;
     private final TargetLedger ledger;
     private final Timers timers;
     private final EventLog log;
-    private final TargetCallbacks events;
-    private final SlownessProbe speed;
+    private final TargetCallbacks callbacks;
+    private final SlownessProbe slownessProbe;
     private final CallRunner runner;
-    private final TargetLoadReporter gauge;
-    private final TargetReplySender replies;
-    private final AdmissionQueue<TargetCall> room = new AdmissionQueue<>();
-    private final OpenCalls open;
-    private boolean looking;
+    private final TargetLoadReporter loadReporter;
+    private final TargetReplySender replySender;
+    private final AdmissionQueue<TargetCall> queue = new AdmissionQueue<>();
+    private final OpenCalls openCalls;
+    private boolean queueCheckScheduled;
 
     public TargetCallHandler(
             Incarnation incarnation,
-            UpstreamTracker register,
+            UpstreamTracker tracker,
             TargetLedger ledger,
             EventLoop loop,
             InetSocketAddress upstream,
             Timers timers,
             EventLog log,
-            TargetCallbacks events,
+            TargetCallbacks callbacks,
             double checksPerSecond) {
         this.incarnation = incarnation;
-        this.register = register;
+        this.tracker = tracker;
         this.ledger = ledger;
         this.timers = timers;
         this.log = log;
-        this.events = events;
-        this.gauge = new TargetLoadReporter(register, room);
-        this.replies = new TargetReplySender(timers, log, this::load);
-        this.open = new OpenCalls(ledger, replies);
+        this.callbacks = callbacks;
+        this.loadReporter = new TargetLoadReporter(tracker, queue);
+        this.replySender = new TargetReplySender(timers, log, this::load);
+        this.openCalls = new OpenCalls(ledger, replySender);
         UpstreamConnectionPool pool = new UpstreamConnectionPool(loop, upstream, timers);
-        this.speed =
+        this.slownessProbe =
                 new SlownessProbe(
                         pool,
                         new TokenBucket(checksPerSecond),
-                        events,
+                        callbacks,
                         timers,
                         this::offer,
-                        this::startNext);
+                        this::startQueuedCalls);
         this.runner =
                 new CallRunner(
-                        open,
-                        room,
+                        openCalls,
+                        queue,
                         ledger,
-                        register,
+                        tracker,
                         pool,
-                        speed,
-                        new UpstreamHealthMonitor(register, pool, timers, log, new Watched()),
-                        replies,
-                        events,
+                        slownessProbe,
+                        new UpstreamHealthMonitor(tracker, pool, timers, log, new HealthListener()),
+                        replySender,
+                        callbacks,
                         timers,
-                        this::startNext);
+                        this::startQueuedCalls);
     }
 
     /** The upstream announced itself. */
     public void onAnnouncement(UpstreamAnnouncement announcement) {
         long now = timers.now();
-        Change change = register.onAnnouncement(announcement, now);
-        room.setLimit(runner.concurrencyLimit());
+        Change change = tracker.onAnnouncement(announcement, now);
+        queue.setLimit(runner.concurrencyLimit());
         if (change != Change.NONE) {
             log.event(change == Change.LEAVING ? "upstream-leaving" : "upstream-appeared")
                     .with("upstream", announcement.id())
@@ -119,178 +122,186 @@
                     .with("slots", announcement.slots())
                     .with("sequence", announcement.sequence())
                     .write();
-            events.onUpstreamChanged();
+            callbacks.onUpstreamChanged();
         }
         if (change == Change.APPEARED) {
-            speed.probe();
+            slownessProbe.probe();
         }
     }
 
-    /** The upstream said that it goes. */
+    /** The upstream deregistered. */
     public void onDeregistration(UpstreamId id, OptionalLong born) {
-        if (register.onLeave(id, born, timers.now()) != Change.NONE) {
+        if (tracker.onLeave(id, born, timers.now()) != Change.NONE) {
             log.event("upstream-leaving").with("upstream", id).with("step", "deregister").write();
-            events.onUpstreamChanged();
+            callbacks.onUpstreamChanged();
         }
     }
 
-    /** Takes no new call from now on. */
+    /** Refuses new calls from now on. */
     public void stopAccepting() {
-        gauge.markStopping();
-        events.onUpstreamChanged();
+        loadReporter.markStopping();
+        callbacks.onUpstreamChanged();
     }
 
-    /** Forgets what has ended long ago. Call it every second or so. */
+    /** Drops expired entries of the ledger. Call it about once a second. */
     public void expireLedger() {
-        ledger.expire(nanoseconds(timers.now()));
+        ledger.expire(toNanoseconds(timers.now()));
     }
 
-    /** The upstream's present incarnation and what is known of it. */
+    /** The state of the upstream: its current incarnation and whether it is leaving or down. */
     public UpstreamTracker upstreamTracker() {
-        return register;
+        return tracker;
     }
 
-    /** Whether nothing waits and nothing runs. */
+    /** Whether no call is queued or running. */
     public boolean isIdle() {
-        return open.isEmpty();
+        return openCalls.isEmpty();
     }
 
-    /** Takes a call. */
-    public void onCall(EntryId entry, ForwardedCall call, CallOutcomeListener outcomes) {
+    /** Admits, queues or refuses a call of an entry. */
+    public void onCall(EntryId entry, ForwardedCall call, CallOutcomeListener outcomeListener) {
         long now = timers.now();
         RequestId id = requestId(entry, call.getSequence());
-        TargetCall taken = new TargetCall(id, call, outcomes, now);
+        TargetCall received = new TargetCall(id, call, outcomeListener, now);
         AcceptanceResult acceptance =
                 ledger.accept(
                                 CallKey.of(id),
                                 incarnation,
-                                nanoseconds(taken.deadlineAt),
-                                nanoseconds(taken.deadlineAt + REMEMBERED_MILLISECONDS),
-                                nanoseconds(now))
+                                toNanoseconds(received.deadlineAt),
+                                toNanoseconds(received.deadlineAt + RETENTION_MILLISECONDS),
+                                toNanoseconds(now))
                         .result();
         switch (acceptance) {
-            case ACCEPTED -> admit(taken);
-            case FULL -> replies.sendRefusal(taken, RefusalReason.NODE_BUSY, 0);
-            case DEADLINE_PASSED -> replies.sendRefusal(taken, RefusalReason.DEADLINE_PASSED, 0);
+            case ACCEPTED -> admit(received);
+            case FULL -> replySender.sendRefusal(received, RefusalReason.NODE_BUSY, 0);
+            case DEADLINE_PASSED ->
+                    replySender.sendRefusal(received, RefusalReason.DEADLINE_PASSED, 0);
             case SEALED_ALREADY ->
-                    replies.sendRefusal(taken, RefusalReason.SEALED_AFTER_SILENCE, 0);
-            default -> replies.sendFailure(taken, "the call came twice");
+                    replySender.sendRefusal(received, RefusalReason.SEALED_AFTER_SILENCE, 0);
+            default -> replySender.sendFailure(received, "the call was received twice");
         }
     }
 
     private void admit(TargetCall call) {
-        open.add(call);
-        if (register.isDown() || !speed.deferUntilProbed(call)) {
+        openCalls.add(call);
+        if (tracker.isDown() || !slownessProbe.deferUntilProbed(call)) {
             offer(call);
         }
     }
 
     private void offer(TargetCall call) {
-        if (!open.contains(call)) {
+        if (!openCalls.contains(call)) {
             return;
         }
         long now = timers.now();
-        SlowdownDetector slowness = speed.slowdownDetector();
-        RefusalReason unservable = unservable(call);
-        if (unservable != null) {
-            open.refuse(call, unservable, 0);
+        SlowdownDetector detector = slownessProbe.slowdownDetector();
+        RefusalReason refusalReason = refusalReason(call);
+        if (refusalReason != null) {
+            openCalls.refuse(call, refusalReason, 0);
             return;
         }
-        boolean fresh = slowness.isFresh(now);
-        double expected = call.call.getExpectedSlownessPercent() / PERCENT;
+        boolean readingIsFresh = detector.isFresh(now);
+        double expectedSlowness = call.message.getExpectedSlownessPercent() / PERCENT;
         double delay =
-                fresh
-                        ? slowness.delayMilliseconds(
-                                call.call.getUsualMilliseconds(), expected, now)
+                readingIsFresh
+                        ? detector.delayMilliseconds(
+                                call.message.getUsualMilliseconds(), expectedSlowness, now)
                         : 0;
-        boolean mayStart = !(fresh && slowness.isInSlowdown(now));
-        QueueDecision verdict = room.offer(call.toWaitingCall(), delay, mayStart, now);
-        room.drainDisplaced()
+        boolean mayStart = !(readingIsFresh && detector.isInSlowdown(now));
+        QueueDecision decision = queue.offer(call.toQueuedCall(), delay, mayStart, now);
+        queue.drainDisplaced()
                 .forEach(
                         displaced ->
-                                open.refuse(
+                                openCalls.refuse(
                                         displaced,
                                         RefusalReason.OVERLOADED,
-                                        room.retryAfterMilliseconds()));
-        switch (verdict.kind()) {
+                                        queue.retryAfterMilliseconds()));
+        switch (decision.kind()) {
             case START -> runner.handOver(call);
-            case WAIT -> look();
+            case WAIT -> scheduleQueueCheck();
             case SEND_BACK ->
-                    open.refuse(call, RefusalReason.QUEUE_FULL, verdict.retryAfterMilliseconds());
-            default -> throw new IllegalStateException("unexpected " + verdict.kind());
+                    openCalls.refuse(
+                            call, RefusalReason.QUEUE_FULL, decision.retryAfterMilliseconds());
+            default ->
+                    throw new IllegalStateException(
+                            "unexpected decision of the admission queue: " + decision.kind());
         }
     }
 
-    /** Why no call like this is taken now, or null. */
-    private RefusalReason unservable(TargetCall call) {
-        if (register.current().isEmpty()) {
+    /** The reason to refuse the call whatever the load is, or null. */
+    private RefusalReason refusalReason(TargetCall call) {
+        if (tracker.current().isEmpty()) {
             return RefusalReason.NO_UPSTREAM;
         }
-        if (!register.current().get().service().value().equals(call.call.getService())) {
+        if (!tracker.current().get().service().value().equals(call.message.getService())) {
             return RefusalReason.STALE_INCARNATION;
         }
-        if (gauge.isStopping() || register.isLeaving()) {
+        if (loadReporter.isStopping() || tracker.isLeaving()) {
             return RefusalReason.DRAINING;
         }
-        if (register.isDown()) {
+        if (tracker.isDown()) {
             return RefusalReason.UPSTREAM_UNREACHABLE;
         }
-        return events.isQuarantined(call.fingerprint()) ? RefusalReason.QUARANTINED : null;
+        return callbacks.isQuarantined(call.fingerprint()) ? RefusalReason.QUARANTINED : null;
     }
 
-    private void startNext() {
+    private void startQueuedCalls() {
         long now = timers.now();
-        room.setLimit(runner.concurrencyLimit());
-        for (TargetCall hopeless : room.removeExpired(now)) {
-            open.refuse(hopeless, RefusalReason.DEADLINE_TOO_SHORT, room.retryAfterMilliseconds());
+        queue.setLimit(runner.concurrencyLimit());
+        for (TargetCall expired : queue.removeExpired(now)) {
+            openCalls.refuse(
+                    expired, RefusalReason.DEADLINE_TOO_SHORT, queue.retryAfterMilliseconds());
         }
-        if (room.waiting() == 0 || room.running() >= room.limit() || register.isDown()) {
+        if (queue.waiting() == 0 || queue.running() >= queue.limit() || tracker.isDown()) {
             return;
         }
-        if (speed.probeIfStale()) {
+        if (slownessProbe.probeIfStale()) {
             return;
         }
-        if (!speed.slowdownDetector().isInSlowdown(now)) {
-            for (TargetCall next = room.poll(now); next != null; next = room.poll(now)) {
+        if (!slownessProbe.slowdownDetector().isInSlowdown(now)) {
+            for (TargetCall next = queue.poll(now); next != null; next = queue.poll(now)) {
                 runner.handOver(next);
             }
         }
     }
 
-    private void look() {
-        if (looking) {
+    private void scheduleQueueCheck() {
+        if (queueCheckScheduled) {
             return;
         }
-        looking = true;
+        queueCheckScheduled = true;
         timers.schedule(
-                LOOK_MILLISECONDS,
+                QUEUE_CHECK_INTERVAL_MILLISECONDS,
                 () -> {
-                    looking = false;
-                    startNext();
-                    if (room.waiting() > 0) {
-                        look();
+                    queueCheckScheduled = false;
+                    startQueuedCalls();
+                    if (queue.waiting() > 0) {
+                        scheduleQueueCheck();
                     }
                 });
     }
 
-    /** A call that was lost on its way is stopped for good, or its outcome follows. */
-    public void onSeal(EntryId entry, CallSeal seal, CallOutcomeListener outcomes) {
+    /**
+     * Seals a call whose link was lost. A call that was not handed over never will be; the outcome
+     * of any other is sent over the new link.
+     */
+    public void onSeal(EntryId entry, CallSeal seal, CallOutcomeListener outcomeListener) {
         long now = timers.now();
         RequestId id = requestId(entry, seal.getSequence());
         SealState state = SealState.OTHER_INCARNATION;
         if (seal.getTargetIncarnation() == incarnation.value()) {
-            long keepUntil = nanoseconds(now + REMEMBERED_MILLISECONDS);
-            state = ledger.seal(id, incarnation, keepUntil, nanoseconds(now));
+            long keepUntil = toNanoseconds(now + RETENTION_MILLISECONDS);
+            state = ledger.seal(id, incarnation, keepUntil, toNanoseconds(now));
         }
-        TargetCall call = open.get(id);
+        TargetCall call = openCalls.get(id);
         if (state == SealState.SEALED && call != null) {
-            room.remove(call);
-            speed.remove(call);
-            open.remove(call);
+            queue.remove(call);
+            slownessProbe.remove(call);
+            openCalls.remove(call);
         } else if (call != null) {
-            call.outcomes = outcomes;
+            call.outcomeListener = outcomeListener;
         }
-        outcomes.onSealed(
+        outcomeListener.onSealed(
                 CallSealed.newBuilder()
                         .setSequence(seal.getSequence())
                         .setAttempt(seal.getAttempt())
@@ -298,23 +309,25 @@
                         .build());
         log.event("call-sealed").with("request", id).with("state", state).write();
         if (call == null && state != SealState.SEALED) {
-            replies.sendRememberedOutcome(
-                    seal, ledger.answer(id).orElse(ByteString.EMPTY), outcomes);
+            replySender.sendRememberedOutcome(
+                    seal, ledger.answer(id).orElse(ByteString.EMPTY), outcomeListener);
         }
     }
 
-    /** The entry no longer waits: what may be repeated is stopped, what may not goes on. */
+    /**
+     * The entry no longer waits for the call: stops it, unless it is non-idempotent and running.
+     */
     public void onCancel(EntryId entry, CallCancel cancel) {
-        TargetCall call = open.get(requestId(entry, cancel.getSequence()));
+        TargetCall call = openCalls.get(requestId(entry, cancel.getSequence()));
         if (call != null) {
             stopCall(call);
         }
     }
 
-    /** A link ended: nobody hears the outcomes of its calls any more. */
-    public void onLinkClosed(CallOutcomeListener outcomes) {
-        for (TargetCall call : open.all()) {
-            if (call.outcomes == outcomes && !call.call.getNonIdempotent()) {
+    /** A link closed, so that outcomes can't be delivered over it: stops its idempotent calls. */
+    public void onLinkClosed(CallOutcomeListener outcomeListener) {
+        for (TargetCall call : openCalls.all()) {
+            if (call.outcomeListener == outcomeListener && !call.message.getNonIdempotent()) {
                 stopCall(call);
             }
         }
@@ -322,44 +335,44 @@
 
     private void stopCall(TargetCall call) {
         if (!call.isRunning()) {
-            room.remove(call);
-            speed.remove(call);
+            queue.remove(call);
+            slownessProbe.remove(call);
             ledger.refuse(call.id);
-            open.remove(call);
-        } else if (!call.call.getNonIdempotent()) {
+            openCalls.remove(call);
+        } else if (!call.message.getNonIdempotent()) {
             call.deadlineTimer.cancel();
             call.sent.abandon();
-            room.onAbandoned();
+            queue.onAbandoned();
             ledger.failed(call.id);
-            open.remove(call);
-            startNext();
+            openCalls.remove(call);
+            startQueuedCalls();
         }
     }
 
-    /** What the upstream's load is at this instant. */
+    /** The current load of the upstream. */
     public TargetLoad load() {
-        return gauge.load(speed.slowdownDetector(), timers.now());
+        return loadReporter.load(slownessProbe.slowdownDetector(), timers.now());
     }
 
-    private final class Watched implements UpstreamHealthMonitor.Listener {
+    private final class HealthListener implements UpstreamHealthMonitor.Listener {
         @Override
         public Collection<RequestFingerprint> running() {
-            return open.runningRequests();
+            return openCalls.runningRequests();
         }
 
         @Override
         public void onDown(List<RequestFingerprint> suspects) {
-            for (TargetCall waiting : room.drainAll()) {
-                open.refuse(waiting, RefusalReason.UPSTREAM_UNREACHABLE, 0);
+            for (TargetCall waiting : queue.drainAll()) {
+                openCalls.refuse(waiting, RefusalReason.UPSTREAM_UNREACHABLE, 0);
             }
-            events.onUpstreamCrashed(suspects);
-            events.onUpstreamChanged();
+            callbacks.onUpstreamCrashed(suspects);
+            callbacks.onUpstreamChanged();
         }
 
         @Override
         public void onUp() {
-            events.onUpstreamChanged();
-            startNext();
+            callbacks.onUpstreamChanged();
+            startQueuedCalls();
         }
     }
 
@@ -367,7 +380,7 @@
         return new RequestId(entry.node(), entry.incarnation(), sequence);
     }
 
-    private static long nanoseconds(long milliseconds) {
+    private static long toNanoseconds(long milliseconds) {
         return TimeUnit.MILLISECONDS.toNanos(milliseconds);
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetCallbacks.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetCallbacks.java
@@ -3,12 +3,12 @@
 import java.util.Collection;
 import org.damaskmoor.core.quarantine.RequestFingerprint;
 
-/** What a target tells the rest of its node. Confined to the event loop. */
+/** Callbacks and queries of a target to the rest of its node. Confined to the event loop. */
 public interface TargetCallbacks {
-    /** The upstream appeared, leaves, went down or came up. */
+    /** The upstream appeared, is leaving, went down or came up. */
     void onUpstreamChanged();
 
-    /** Whether a request that began on this VM has failed since then. */
+    /** Whether a request that entered at this node has failed since the given time. */
     boolean failedSince(long time);
 
     /** Path of the upstream's health check; empty when there is none. */
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetLoadReporter.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetLoadReporter.java
@@ -6,20 +6,20 @@
 import org.damaskmoor.schema.link.TargetLoad;
 import org.damaskmoor.schema.mesh.UpstreamState;
 
-/** Puts together what a target tells of its load. Confined to the event loop. */
+/** Builds the load reports of a target. Confined to the event loop. */
 final class TargetLoadReporter {
     private static final double PERCENT = 100;
 
-    private final UpstreamTracker register;
-    private final AdmissionQueue<TargetCall> room;
+    private final UpstreamTracker tracker;
+    private final AdmissionQueue<TargetCall> queue;
     private boolean stopping;
 
-    TargetLoadReporter(UpstreamTracker register, AdmissionQueue<TargetCall> room) {
-        this.register = register;
-        this.room = room;
+    TargetLoadReporter(UpstreamTracker tracker, AdmissionQueue<TargetCall> queue) {
+        this.tracker = tracker;
+        this.queue = queue;
     }
 
-    /** The node stops, and its upstream takes no new calls over it. */
+    /** The node is stopping: its upstream is reported as leaving, so that it gets no new calls. */
     void markStopping() {
         stopping = true;
     }
@@ -28,26 +28,26 @@
         return stopping;
     }
 
-    TargetLoad load(SlowdownDetector slowness, long now) {
+    TargetLoad load(SlowdownDetector detector, long now) {
         TargetLoad.Builder load =
                 TargetLoad.newBuilder()
-                        .setRunning(room.running())
-                        .setWaiting(room.waiting())
-                        .setLimit(room.limit())
+                        .setRunning(queue.running())
+                        .setWaiting(queue.waiting())
+                        .setLimit(queue.limit())
                         .setState(state());
-        if (slowness.hasReading()) {
-            load.setSlownessPercent((int) Math.round(slowness.lastReading() * PERCENT))
-                    .setSteadySlownessPercent((int) Math.round(slowness.baseline() * PERCENT))
+        if (detector.hasReading()) {
+            load.setSlownessPercent((int) Math.round(detector.lastReading() * PERCENT))
+                    .setSteadySlownessPercent((int) Math.round(detector.baseline() * PERCENT))
                     .setSlownessAgeMilliseconds(
-                            (int) Math.min(Integer.MAX_VALUE, slowness.readingAge(now)));
+                            (int) Math.min(Integer.MAX_VALUE, detector.readingAge(now)));
         }
         return load.build();
     }
 
     private UpstreamState state() {
-        if (register.current().isEmpty() || register.isDown()) {
+        if (tracker.current().isEmpty() || tracker.isDown()) {
             return UpstreamState.ABSENT;
         }
-        return stopping || register.isLeaving() ? UpstreamState.LEAVING : UpstreamState.SERVING;
+        return stopping || tracker.isLeaving() ? UpstreamState.LEAVING : UpstreamState.SERVING;
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetReplySender.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetReplySender.java
@@ -14,8 +14,8 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * Tells entries how their calls have ended, and the log with what decided it. Confined to the event
- * loop.
+ * Sends entries the outcomes of their calls, and logs them with the load that led to them. Confined
+ * to the event loop.
  */
 final class TargetReplySender {
     private static final double PERCENT = 100;
@@ -30,36 +30,39 @@
         this.load = load;
     }
 
-    /** The answer as entries get it. */
+    /** Logs an answered call and builds the answer for its entry. */
     ForwardedAnswer buildAnswer(
-            TargetCall call, UpstreamOutcome.Answered answered, long took, boolean failedBelow) {
+            TargetCall call,
+            UpstreamOutcome.Answered answered,
+            long durationMilliseconds,
+            boolean failedBelow) {
         log.event("call-answered")
-                .with("request", call.call.getCallerRequestId())
+                .with("request", call.message.getCallerRequestId())
                 .with("status", answered.status())
                 .with("waited_ms", call.startedAt - call.arrivedAt)
-                .with("took_ms", took)
-                .with("usual_ms", call.call.getUsualMilliseconds())
+                .with("took_ms", durationMilliseconds)
+                .with("usual_ms", call.message.getUsualMilliseconds())
                 .with("slowness", Math.round(call.slownessAtStart * PERCENT))
                 .with("running", call.runningAtStart)
                 .write();
         return ForwardedAnswer.newBuilder()
-                .setSequence(call.call.getSequence())
-                .setAttempt(call.call.getAttempt())
+                .setSequence(call.message.getSequence())
+                .setAttempt(call.message.getAttempt())
                 .setStatus(answered.status())
                 .addAllHeaders(answered.headers())
                 .setBody(answered.body())
-                .setUpstreamMilliseconds((int) took)
+                .setUpstreamMilliseconds((int) durationMilliseconds)
                 .setSlownessPercent((int) Math.round(call.slownessAtStart * PERCENT))
                 .setFailedBelow(failedBelow)
                 .setLoad(load.get())
                 .build();
     }
 
-    /** Tells that the call has not run here and never will. */
+    /** Sends a refusal: the call was not run here and never will be. */
     void sendRefusal(TargetCall call, RefusalReason reason, long retryAfterMilliseconds) {
         TargetLoad now = load.get();
         log.event("call-refused")
-                .with("request", call.call.getCallerRequestId())
+                .with("request", call.message.getCallerRequestId())
                 .with("reason", reason)
                 .with("running", now.getRunning())
                 .with("waiting", now.getWaiting())
@@ -67,49 +70,52 @@
                 .with("slowness", now.getSlownessPercent())
                 .with("waited_ms", timers.now() - call.arrivedAt)
                 .write();
-        call.outcomes.onRefused(
+        call.outcomeListener.onRefused(
                 ForwardedRefusal.newBuilder()
-                        .setSequence(call.call.getSequence())
-                        .setAttempt(call.call.getAttempt())
+                        .setSequence(call.message.getSequence())
+                        .setAttempt(call.message.getAttempt())
                         .setReason(reason)
                         .setRetryAfterMilliseconds((int) retryAfterMilliseconds)
                         .setLoad(now)
                         .build());
     }
 
-    /** Tells that it is unknown whether the call ran. */
+    /** Sends a failure: it is unknown whether the call ran. */
     void sendFailure(TargetCall call, String detail) {
-        long ran = call.startedAt == 0 ? 0 : timers.now() - call.startedAt;
+        long ranMilliseconds = call.startedAt == 0 ? 0 : timers.now() - call.startedAt;
         log.event("call-failed")
-                .with("request", call.call.getCallerRequestId())
+                .with("request", call.message.getCallerRequestId())
                 .with("step", "upstream")
-                .with("ran_ms", ran)
+                .with("ran_ms", ranMilliseconds)
                 .with("detail", detail)
                 .write();
-        call.outcomes.onFailed(
+        call.outcomeListener.onFailed(
                 ForwardedFailure.newBuilder()
-                        .setSequence(call.call.getSequence())
-                        .setAttempt(call.call.getAttempt())
+                        .setSequence(call.message.getSequence())
+                        .setAttempt(call.message.getAttempt())
                         .setDetail(detail)
                         .setLoad(load.get())
                         .build());
     }
 
-    /** Tells the outcome of a call that has ended before its entry asked, as far as it is kept. */
-    void sendRememberedOutcome(CallSeal seal, ByteString kept, CallOutcomeListener outcomes) {
-        if (!kept.isEmpty()) {
+    /**
+     * Sends the outcome of a call that ended before its entry sealed it, if the answer was kept.
+     */
+    void sendRememberedOutcome(
+            CallSeal seal, ByteString keptAnswer, CallOutcomeListener outcomeListener) {
+        if (!keptAnswer.isEmpty()) {
             try {
-                outcomes.onAnswered(ForwardedAnswer.parseFrom(kept));
+                outcomeListener.onAnswered(ForwardedAnswer.parseFrom(keptAnswer));
                 return;
-            } catch (InvalidProtocolBufferException unreadable) {
+            } catch (InvalidProtocolBufferException invalid) {
                 log.event("kept-answer-unreadable").with("call", seal.getSequence()).write();
             }
         }
-        outcomes.onFailed(
+        outcomeListener.onFailed(
                 ForwardedFailure.newBuilder()
                         .setSequence(seal.getSequence())
                         .setAttempt(seal.getAttempt())
-                        .setDetail("the outcome is not known any more")
+                        .setDetail("the outcome is no longer known")
                         .build());
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/TokenBucket.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/TokenBucket.java
@@ -1,30 +1,30 @@
 package org.damaskmoor.relay.internal.target;
 
-/** Bounds how often something is done, with bursts of a second's worth. Not thread-safe. */
+/** A token bucket that holds at most one second's worth of tokens. Not thread-safe. */
 final class TokenBucket {
     private static final double MILLISECONDS_PER_SECOND = 1000;
 
-    /** Part of the bound that is used, so that rounding never breaks it. */
-    private static final double USED_PART = 0.8;
+    /** Fraction of the configured rate that is used, so that rounding never exceeds it. */
+    private static final double USED_FRACTION = 0.8;
 
     private final double perSecond;
     private double tokens;
-    private long filledAt;
-    private boolean started;
+    private long refilledAt;
+    private boolean initialized;
 
     TokenBucket(double perSecond) {
-        this.perSecond = perSecond * USED_PART;
+        this.perSecond = perSecond * USED_FRACTION;
     }
 
     boolean tryAcquire(long now) {
-        if (!started) {
-            started = true;
-            filledAt = now;
+        if (!initialized) {
+            initialized = true;
+            refilledAt = now;
             tokens = perSecond;
         }
-        tokens += (now - filledAt) * perSecond / MILLISECONDS_PER_SECOND;
+        tokens += (now - refilledAt) * perSecond / MILLISECONDS_PER_SECOND;
         tokens = Math.min(tokens, perSecond);
-        filledAt = now;
+        refilledAt = now;
         if (tokens < 1) {
             return false;
         }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/UpstreamConcurrencyLimit.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/UpstreamConcurrencyLimit.java
@@ -3,37 +3,40 @@
 import org.damaskmoor.core.queueing.AdaptiveConcurrencyLimit;
 
 /**
- * How many calls the upstream gets at once: its slots, fewer where it serves fewer better, and
- * fewer for a while after it has shed calls. Confined to the event loop.
+ * Limits how many calls run on the upstream at once: to its slots, to fewer if it has a higher
+ * throughput with fewer, and to fewer for a while after it has shed calls. Confined to the event
+ * loop.
  */
 final class UpstreamConcurrencyLimit {
-    /** Time after which a shed call lets one more run again. */
-    private static final long SHED_MEMORY_MILLISECONDS = 1000;
+    /** Interval at which the slots withheld after shed calls are released, one at a time. */
+    private static final long SHED_RECOVERY_MILLISECONDS = 1000;
 
-    private final AdaptiveConcurrencyLimit crowding = new AdaptiveConcurrencyLimit();
-    private int shed;
-    private long shedAt;
+    private final AdaptiveConcurrencyLimit adaptiveLimit = new AdaptiveConcurrencyLimit();
+    private int withheldSlots;
+    private long withheldAt;
 
     /** The upstream shed a call. */
     void onShed(long now) {
-        shed++;
-        shedAt = now;
+        withheldSlots++;
+        withheldAt = now;
     }
 
     /** A call was answered. */
-    void onAnswered(TargetCall call, long took) {
-        if (call.call.getUsualMilliseconds() > 0 && call.slownessAtStart > 0) {
-            double usual = call.call.getUsualMilliseconds() * call.slownessAtStart;
-            crowding.onAnswered(call.runningAtStart, took / usual);
+    void onAnswered(TargetCall call, long durationMilliseconds) {
+        if (call.message.getUsualMilliseconds() > 0 && call.slownessAtStart > 0) {
+            double expectedMilliseconds =
+                    call.message.getUsualMilliseconds() * call.slownessAtStart;
+            adaptiveLimit.onAnswered(
+                    call.runningAtStart, durationMilliseconds / expectedMilliseconds);
         }
     }
 
-    /** The limit for an upstream with so many slots. */
+    /** The current limit for an upstream with the given number of slots. */
     int limitFor(int slots, long now) {
-        if (shed > 0 && now - shedAt >= SHED_MEMORY_MILLISECONDS) {
-            shed--;
-            shedAt = now;
+        if (withheldSlots > 0 && now - withheldAt >= SHED_RECOVERY_MILLISECONDS) {
+            withheldSlots--;
+            withheldAt = now;
         }
-        return Math.max(1, crowding.limit(slots) - Math.min(shed, slots / 2));
+        return Math.max(1, adaptiveLimit.limit(slots) - Math.min(withheldSlots, slots / 2));
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/UpstreamConnection.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/UpstreamConnection.java
@@ -23,51 +23,50 @@
 import org.damaskmoor.schema.mesh.HeaderField;
 
 /**
- * One connection to the upstream, for one call at a time.
+ * An HTTP connection to the upstream that carries one call at a time.
  *
- * <p>Only an answer that carries the id of the present call is taken for its answer: another one
- * came too late for a former call, or twice, and is skipped. Interim answers are skipped.
+ * <p>Only an answer with the id of the current request is accepted. Another one is a late answer to
+ * an earlier call, or a duplicate, and is skipped. Interim (1xx) answers are skipped.
  *
- * <p>Confined to the event loop. Invariants: a call has one outcome; after an answer that was not
- * asked for, bytes that can't be read, or an answer before the request was sent in full, the
- * connection is not used again.
+ * <p>Confined to the event loop. Invariants: a call has one outcome; after an unsolicited answer,
+ * unreadable bytes, or an answer before the request was sent in full, the connection is not reused.
  */
 final class UpstreamConnection extends ChannelInboundHandlerAdapter {
-    private static final int MISDIRECTED = 421;
+    private static final int MISDIRECTED_REQUEST = 421;
     private static final int BAD_REQUEST = 400;
-    private static final int TOO_MANY = 429;
-    private static final int UNAVAILABLE = 503;
+    private static final int TOO_MANY_REQUESTS = 429;
+    private static final int SERVICE_UNAVAILABLE = 503;
 
     private final UpstreamConnectionPool pool;
     private Channel channel;
-    private Consumer<UpstreamOutcome> waiting;
+    private Consumer<UpstreamOutcome> pendingOutcome;
     private String requestId = "";
     private ChannelFuture written;
-    private boolean spoiled;
+    private boolean notReusable;
     private HttpResponse head;
-    private boolean skipping;
-    private boolean checking;
+    private boolean skippingBody;
+    private boolean healthChecking;
     private ByteString.Output body;
     private long idleSince;
-    private long keptMilliseconds;
+    private long keepAliveMilliseconds;
 
-    UpstreamConnection(UpstreamConnectionPool pool, long keptMilliseconds) {
+    UpstreamConnection(UpstreamConnectionPool pool, long keepAliveMilliseconds) {
         this.pool = pool;
-        this.keptMilliseconds = keptMilliseconds;
+        this.keepAliveMilliseconds = keepAliveMilliseconds;
     }
 
-    /** Sends a call; the outcome comes once. */
+    /** Sends a call; the outcome is reported once. */
     void send(String callerRequestId, FullHttpRequest request, Consumer<UpstreamOutcome> outcome) {
         requestId = callerRequestId;
-        waiting = outcome;
+        pendingOutcome = outcome;
         head = null;
         written = channel.writeAndFlush(request);
     }
 
-    /** Sends a health check; its load comes once, empty when there is none. */
-    void checkHealth(FullHttpRequest request, Consumer<Optional<UpstreamLoad>> told) {
-        checking = true;
-        send("", request, outcome -> told.accept(load(outcome)));
+    /** Sends a health check; the load is reported once, empty if there is none. */
+    void checkHealth(FullHttpRequest request, Consumer<Optional<UpstreamLoad>> onLoad) {
+        healthChecking = true;
+        send("", request, outcome -> onLoad.accept(load(outcome)));
     }
 
     private static Optional<UpstreamLoad> load(UpstreamOutcome outcome) {
@@ -77,14 +76,14 @@
         return outcome instanceof UpstreamOutcome.NotRun notRun ? notRun.load() : Optional.empty();
     }
 
-    /** Gives the present call up and closes. */
+    /** Abandons the current call and closes the connection. */
     void abandon() {
-        waiting = null;
+        pendingOutcome = null;
         channel.close();
     }
 
     boolean isUsable() {
-        return channel.isActive() && !spoiled && waiting == null;
+        return channel.isActive() && !notReusable && pendingOutcome == null;
     }
 
     long idleSince() {
@@ -95,9 +94,9 @@
         idleSince = now;
     }
 
-    /** How long the upstream keeps it open while it is idle, in milliseconds. */
+    /** Time for which the upstream keeps the connection open while it is idle. */
     long keepAliveMilliseconds() {
-        return keptMilliseconds;
+        return keepAliveMilliseconds;
     }
 
     void close() {
@@ -120,7 +119,7 @@
 
     private void onMessage(HttpObject message) {
         if (message.decoderResult().isFailure()) {
-            end(new UpstreamOutcome.Failed("the answer can't be read"));
+            end(new UpstreamOutcome.Failed("the answer is not valid HTTP"));
             return;
         }
         if (message instanceof HttpResponse response) {
@@ -135,56 +134,56 @@
         head = response;
         body = ByteString.newOutput();
         boolean interim = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-        boolean own =
-                checking
+        boolean matchesRequest =
+                healthChecking
                         ? response.headers().contains(HeaderNames.UPSTREAM_ID)
                         : requestId.equals(response.headers().get(HeaderNames.REQUEST_ID));
         boolean refused = isRefusal(response);
-        skipping = interim || waiting == null || !(own || refused);
-        if (skipping && !interim) {
-            spoiled = true;
-            if (waiting == null) {
+        skippingBody = interim || pendingOutcome == null || !(matchesRequest || refused);
+        if (skippingBody && !interim) {
+            notReusable = true;
+            if (pendingOutcome == null) {
                 channel.close();
             }
         }
     }
 
-    /** A refusal may be written before the request was read, and so without its id. */
+    /** An upstream may refuse a request before reading it, and then sends no request id. */
     private static boolean isRefusal(HttpResponse response) {
         boolean refused =
-                response.status().code() == MISDIRECTED
+                response.status().code() == MISDIRECTED_REQUEST
                         || response.headers().contains(HeaderNames.NOT_RUN);
         return refused && !response.headers().contains(HeaderNames.REQUEST_ID);
     }
 
     private void onContent(HttpContent content) {
-        if (!skipping) {
+        if (!skippingBody) {
             byte[] bytes = new byte[content.content().readableBytes()];
             content.content().getBytes(content.content().readerIndex(), bytes);
             body.write(bytes, 0, bytes.length);
         }
         if (content instanceof LastHttpContent) {
-            boolean whole = !skipping;
-            skipping = false;
-            HttpResponse ended = head;
+            boolean accepted = !skippingBody;
+            skippingBody = false;
+            HttpResponse completed = head;
             head = null;
-            if (whole && waiting != null) {
-                finish(ended);
+            if (accepted && pendingOutcome != null) {
+                finish(completed);
             }
         }
     }
 
     private void finish(HttpResponse response) {
         boolean reusable =
-                !spoiled
+                !notReusable
                         && written.isDone()
                         && HttpUtil.isKeepAlive(response)
                         && (HttpUtil.isContentLengthSet(response)
                                 || HttpUtil.isTransferEncodingChunked(response));
-        keptMilliseconds = KeepAliveTimeout.parseMilliseconds(response, keptMilliseconds);
+        keepAliveMilliseconds = KeepAliveTimeout.parseMilliseconds(response, keepAliveMilliseconds);
         UpstreamOutcome outcome = outcome(response);
         if (!reusable) {
-            spoiled = true;
+            notReusable = true;
         }
         end(outcome);
     }
@@ -193,10 +192,13 @@
         Optional<UpstreamLoad> load =
                 LoadDecoder.decode(response.headers().get(HeaderNames.UPSTREAM_LOAD));
         int status = response.status().code();
-        if (status == MISDIRECTED) {
+        if (status == MISDIRECTED_REQUEST) {
             return new UpstreamOutcome.NotRun(UpstreamOutcome.Cause.OTHER_UPSTREAM, load);
         }
-        boolean mayRefuse = status == UNAVAILABLE || status == TOO_MANY || status == BAD_REQUEST;
+        boolean mayRefuse =
+                status == SERVICE_UNAVAILABLE
+                        || status == TOO_MANY_REQUESTS
+                        || status == BAD_REQUEST;
         if (mayRefuse && response.headers().contains(HeaderNames.NOT_RUN)) {
             return new UpstreamOutcome.NotRun(UpstreamOutcome.Cause.SHED, load);
         }
@@ -205,27 +207,27 @@
     }
 
     private void end(UpstreamOutcome outcome) {
-        Consumer<UpstreamOutcome> told = waiting;
-        waiting = null;
-        checking = false;
+        Consumer<UpstreamOutcome> receiver = pendingOutcome;
+        pendingOutcome = null;
+        healthChecking = false;
         if (outcome instanceof UpstreamOutcome.Failed) {
-            spoiled = true;
+            notReusable = true;
         }
-        if (spoiled) {
+        if (notReusable) {
             channel.close();
         } else {
             pool.release(this);
         }
-        if (told != null) {
-            told.accept(outcome);
+        if (receiver != null) {
+            receiver.accept(outcome);
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        spoiled = true;
+        notReusable = true;
         pool.remove(this);
-        if (waiting != null) {
+        if (pendingOutcome != null) {
             end(new UpstreamOutcome.Failed("the upstream closed the connection"));
         }
     }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/UpstreamConnectionPool.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/UpstreamConnectionPool.java
@@ -23,30 +23,32 @@
 import org.damaskmoor.schema.link.ForwardedCall;
 
 /**
- * Connections to the upstream on this VM.
+ * A pool of HTTP connections to the upstream on this VM.
  *
- * <p>Confined to the event loop. Invariants: a connection carries one call at a time; one that has
- * been idle for as long as the upstream may keep it is not used again; a call that may not be
- * repeated gets a connection that has just been used or is new, because the upstream may close an
- * idle one at the moment when the call is sent.
+ * <p>Confined to the event loop. Invariants: a connection carries one call at a time; a connection
+ * is not reused when the upstream may already have closed it as idle; a non-idempotent call gets a
+ * new or recently used connection, because the upstream may close an idle one while the call is
+ * being sent.
  */
 final class UpstreamConnectionPool {
     private static final int CONNECT_TIMEOUT_MILLISECONDS = 500;
-    private static final int MOST_HEADER_BYTES = 64 * 1024;
-    private static final int MOST_LINE_BYTES = 16 * 1024;
-    private static final int CHUNK_BYTES = 64 * 1024;
+    private static final int MAX_HEADER_BYTES = 64 * 1024;
+    private static final int MAX_LINE_BYTES = 16 * 1024;
+    private static final int MAX_CHUNK_BYTES = 64 * 1024;
 
-    /** Longest wait for a health check, which a call may be waiting for. */
+    /** Timeout of a health check; short, because calls may wait for its result. */
     private static final long CHECK_TIMEOUT_MILLISECONDS = 30;
 
-    /** Idle time after which an upstream may close a connection that told no time of its own. */
-    private static final long USUAL_KEPT_MILLISECONDS = 10_000;
+    /**
+     * Idle time after which an upstream may close a connection for which it announced no timeout.
+     */
+    private static final long DEFAULT_KEEP_ALIVE_MILLISECONDS = 10_000;
 
-    /** Not used so shortly before the upstream closes it. */
-    private static final long KEPT_MARGIN_MILLISECONDS = 1500;
+    /** A connection is not reused within this time before the upstream may close it. */
+    private static final long KEEP_ALIVE_MARGIN_MILLISECONDS = 1500;
 
-    /** Idle time within which a connection is used for a call that may not be repeated. */
-    private static final long JUST_USED_MILLISECONDS = 1000;
+    /** Longest idle time of a connection that is reused for a non-idempotent call. */
+    private static final long RECENTLY_USED_MILLISECONDS = 1000;
 
     private final InetSocketAddress address;
     private final Timers timers;
@@ -72,22 +74,22 @@
                                 });
     }
 
-    /** A call on its way; lets it be given up. */
-    interface Sent {
-        /** Closes its connection, so that the upstream drops it. */
+    /** A call that was sent and can be abandoned. */
+    interface InFlightCall {
+        /** Closes the connection of the call, so that the upstream drops it. */
         void abandon();
     }
 
-    /** Sends a call; the outcome comes once, and not at all after it was given up. */
-    Sent send(
+    /** Sends a call. The outcome is reported once, or never if the call is abandoned. */
+    InFlightCall send(
             ForwardedCall call,
             UpstreamId upstream,
             long deadlineAt,
             Consumer<UpstreamOutcome> outcome) {
         PendingSend pending = new PendingSend(call, upstream, deadlineAt, outcome);
-        UpstreamConnection kept = takeIdle(call.getNonIdempotent());
-        if (kept != null) {
-            pending.on(kept);
+        UpstreamConnection reused = takeIdle(call.getNonIdempotent());
+        if (reused != null) {
+            pending.on(reused);
         } else {
             bootstrap
                     .connect(address)
@@ -96,12 +98,12 @@
         return pending;
     }
 
-    /** Asks the upstream how it is; empty when it does not tell in time. */
-    void checkHealth(String path, Consumer<Optional<UpstreamLoad>> told) {
-        HealthCheck check = new HealthCheck(path, told);
-        UpstreamConnection kept = takeIdle(false);
-        if (kept != null) {
-            check.on(kept);
+    /** Sends a health check; the load is empty if none arrives in time. */
+    void checkHealth(String path, Consumer<Optional<UpstreamLoad>> onLoad) {
+        HealthCheck check = new HealthCheck(path, onLoad);
+        UpstreamConnection reused = takeIdle(false);
+        if (reused != null) {
+            check.on(reused);
         } else {
             bootstrap
                     .connect(address)
@@ -109,8 +111,8 @@
         }
     }
 
-    /** Opens a connection only to see whether the upstream takes one. */
-    void probeConnection(Consumer<Boolean> reachable) {
+    /** Opens a connection to find out whether the upstream accepts one. */
+    void probeConnection(Consumer<Boolean> onResult) {
         bootstrap
                 .connect(address)
                 .addListener(
@@ -118,7 +120,7 @@
                             if (connected.isSuccess()) {
                                 release(connection(connected.channel()));
                             }
-                            reachable.accept(connected.isSuccess());
+                            onResult.accept(connected.isSuccess());
                         });
     }
 
@@ -142,22 +144,23 @@
 
     private UpstreamConnection takeIdle(boolean nonIdempotent) {
         long now = timers.now();
-        dropOld(now);
+        closeExpired(now);
         UpstreamConnection last = idle.peekLast();
-        boolean justUsed = last != null && now - last.idleSince() <= JUST_USED_MILLISECONDS;
-        if (last == null || (nonIdempotent && !justUsed)) {
+        boolean recentlyUsed = last != null && now - last.idleSince() <= RECENTLY_USED_MILLISECONDS;
+        if (last == null || (nonIdempotent && !recentlyUsed)) {
             return null;
         }
         idle.removeLast();
         return last.isUsable() ? last : takeIdle(nonIdempotent);
     }
 
-    private void dropOld(long now) {
+    private void closeExpired(long now) {
         Iterator<UpstreamConnection> connections = List.copyOf(idle).iterator();
         while (connections.hasNext()) {
             UpstreamConnection connection = connections.next();
-            long kept = connection.keepAliveMilliseconds() - KEPT_MARGIN_MILLISECONDS;
-            if (now - connection.idleSince() < kept) {
+            long reusableMilliseconds =
+                    connection.keepAliveMilliseconds() - KEEP_ALIVE_MARGIN_MILLISECONDS;
+            if (now - connection.idleSince() < reusableMilliseconds) {
                 return;
             }
             idle.remove(connection);
@@ -166,12 +169,13 @@
     }
 
     private void initialize(Channel channel) {
-        UpstreamConnection connection = new UpstreamConnection(this, USUAL_KEPT_MILLISECONDS);
+        UpstreamConnection connection =
+                new UpstreamConnection(this, DEFAULT_KEEP_ALIVE_MILLISECONDS);
         all.add(connection);
         channel.pipeline()
                 .addLast(
                         new HttpClientCodec(
-                                MOST_LINE_BYTES, MOST_HEADER_BYTES, CHUNK_BYTES, false, false),
+                                MAX_LINE_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES, false, false),
                         connection);
     }
 
@@ -181,12 +185,12 @@
 
     private final class HealthCheck {
         private final String path;
-        private final Consumer<Optional<UpstreamLoad>> told;
+        private final Consumer<Optional<UpstreamLoad>> onLoad;
         private boolean ended;
 
-        HealthCheck(String path, Consumer<Optional<UpstreamLoad>> told) {
+        HealthCheck(String path, Consumer<Optional<UpstreamLoad>> onLoad) {
             this.path = path;
-            this.told = told;
+            this.onLoad = onLoad;
         }
 
         void onConnected(ChannelFuture connected) {
@@ -212,12 +216,12 @@
         private void end(Optional<UpstreamLoad> load) {
             if (!ended) {
                 ended = true;
-                told.accept(load);
+                onLoad.accept(load);
             }
         }
     }
 
-    private final class PendingSend implements Sent {
+    private final class PendingSend implements InFlightCall {
         private final ForwardedCall call;
         private final UpstreamId upstream;
         private final long deadlineAt;
@@ -250,11 +254,11 @@
             }
         }
 
-        void on(UpstreamConnection chosen) {
-            connection = chosen;
+        void on(UpstreamConnection opened) {
+            connection = opened;
             long remaining = Math.max(1, deadlineAt - timers.now());
             FullHttpRequest request = UpstreamRequestFactory.of(call, upstream, remaining);
-            chosen.send(
+            opened.send(
                     call.getCallerRequestId(),
                     request,
                     ended -> {
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/UpstreamHealthMonitor.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/UpstreamHealthMonitor.java
@@ -8,16 +8,16 @@
 import org.damaskmoor.relay.internal.time.Timers;
 
 /**
- * Finds out whether the upstream still takes connections, after calls to it have failed.
+ * Checks whether the upstream still accepts connections after calls to it have failed.
  *
- * <p>Confined to the event loop. Invariant: one connection is tried at a time; an upstream that is
- * down is tried until it is up or another one announces itself.
+ * <p>Confined to the event loop. Invariants: one connection is attempted at a time; an upstream
+ * that is down is probed until it is reachable or another one announces itself.
  */
 final class UpstreamHealthMonitor {
-    /** How often an upstream that does not answer is tried. */
-    private static final long PROBE_MILLISECONDS = 300;
+    /** Interval between connection attempts to an unreachable upstream. */
+    private static final long PROBE_INTERVAL_MILLISECONDS = 300;
 
-    private final UpstreamTracker register;
+    private final UpstreamTracker tracker;
     private final UpstreamConnectionPool pool;
     private final Timers timers;
     private final EventLog log;
@@ -25,43 +25,43 @@
     private final RecentFailures failures = new RecentFailures();
     private boolean probing;
 
-    /** Hears of what is found out. */
+    /** Receives changes of the upstream's reachability. */
     interface Listener {
-        /** Requests that run now. */
+        /** The requests that the upstream is running. */
         Collection<RequestFingerprint> running();
 
-        /** The upstream does not answer; these requests ran or had just failed. */
+        /** The upstream is unreachable; the suspects were running or had just failed. */
         void onDown(List<RequestFingerprint> suspects);
 
-        /** It answers again. */
+        /** The upstream is reachable again. */
         void onUp();
     }
 
     UpstreamHealthMonitor(
-            UpstreamTracker register,
+            UpstreamTracker tracker,
             UpstreamConnectionPool pool,
             Timers timers,
             EventLog log,
             Listener listener) {
-        this.register = register;
+        this.tracker = tracker;
         this.pool = pool;
         this.timers = timers;
         this.log = log;
         this.listener = listener;
     }
 
-    /** A request got no whole answer: the upstream may have crashed. */
+    /** A request got no complete answer: the upstream may have crashed. */
     void onFailure(RequestFingerprint request) {
         failures.add(request, timers.now());
         probe();
     }
 
-    /** The upstream does not answer, or another one answers in its place. */
+    /** Marks the upstream as down: it is unreachable, or another one has its address. */
     void markDown(String reason) {
-        if (register.isDown()) {
+        if (tracker.isDown()) {
             return;
         }
-        register.markDown();
+        tracker.markDown();
         log.event("upstream-down").with("reason", reason).write();
         List<RequestFingerprint> suspects = failures.recent(timers.now());
         suspects.addAll(listener.running());
@@ -70,7 +70,7 @@
     }
 
     private void probe() {
-        if (probing || register.current().isEmpty()) {
+        if (probing || tracker.current().isEmpty()) {
             return;
         }
         probing = true;
@@ -80,21 +80,21 @@
     private void onProbed(boolean reachable) {
         if (reachable) {
             probing = false;
-            up();
+            markUp();
             return;
         }
         markDown("no connection");
         timers.schedule(
-                PROBE_MILLISECONDS,
+                PROBE_INTERVAL_MILLISECONDS,
                 () -> {
                     probing = false;
                     probe();
                 });
     }
 
-    private void up() {
-        if (register.isDown()) {
-            register.markUp();
+    private void markUp() {
+        if (tracker.isDown()) {
+            tracker.markUp();
             log.event("upstream-up").write();
             listener.onUp();
         }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/UpstreamOutcome.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/UpstreamOutcome.java
@@ -6,9 +6,9 @@
 import org.damaskmoor.core.upstream.UpstreamLoad;
 import org.damaskmoor.schema.mesh.HeaderField;
 
-/** How a call that was sent to the upstream has ended. Immutable and thread-safe. */
+/** The outcome of a call that was sent to the upstream. Immutable and thread-safe. */
 sealed interface UpstreamOutcome {
-    /** The upstream sent a whole answer. */
+    /** The upstream sent a complete answer. */
     record Answered(
             int status, List<HeaderField> headers, ByteString body, Optional<UpstreamLoad> load)
             implements UpstreamOutcome {}
@@ -16,14 +16,14 @@
     /** The upstream certainly did not run the call. */
     record NotRun(Cause cause, Optional<UpstreamLoad> load) implements UpstreamOutcome {}
 
-    /** No whole answer came: whether the call ran is unknown. */
+    /** No complete answer arrived: it is unknown whether the call ran. */
     record Failed(String detail) implements UpstreamOutcome {}
 
     /** Why the upstream did not run a call. */
     enum Cause {
         /** No connection could be opened. */
         UNREACHABLE,
-        /** It was full, or said that the deadline had passed. */
+        /** The upstream refused the call: it was full, or the deadline had passed. */
         SHED,
         /** Another upstream has the address. */
         OTHER_UPSTREAM
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/UpstreamRequestFactory.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/UpstreamRequestFactory.java
@@ -14,9 +14,9 @@
 import org.damaskmoor.schema.link.ForwardedCall;
 import org.damaskmoor.schema.mesh.HeaderField;
 
-/** Makes the request that an upstream gets for a call. Thread-safe: pure functions. */
+/** Creates the HTTP requests that are sent to the upstream. Thread-safe: pure functions. */
 final class UpstreamRequestFactory {
-    /** Methods whose requests usually have a body, so that an empty one is told. */
+    /** Methods whose requests usually have a body, so that an empty one needs a Content-Length. */
     private static final Set<String> WITH_BODY = Set.of("POST", "PUT", "PATCH");
 
     private UpstreamRequestFactory() {}
@@ -29,7 +29,7 @@
         return request;
     }
 
-    static FullHttpRequest of(ForwardedCall call, UpstreamId upstream, long remaining) {
+    static FullHttpRequest of(ForwardedCall call, UpstreamId upstream, long remainingMilliseconds) {
         FullHttpRequest request =
                 new DefaultFullHttpRequest(
                         HttpVersion.HTTP_1_1,
@@ -41,7 +41,7 @@
             headers.add(field.getName(), field.getValue());
         }
         headers.set(HeaderNames.REQUEST_ID, call.getCallerRequestId());
-        headers.set(HeaderNames.REMAINING_MILLISECONDS, Long.toString(remaining));
+        headers.set(HeaderNames.REMAINING_MILLISECONDS, Long.toString(remainingMilliseconds));
         headers.set(HeaderNames.EXPECTED_UPSTREAM, upstream.value());
         headers.set(HeaderNames.CALLER_SERVICE, call.getCallerService());
         if (!call.getBody().isEmpty() || WITH_BODY.contains(call.getMethod())) {
--- a/relay/src/main/java/org/damaskmoor/relay/internal/time/EventLoopTimers.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/time/EventLoopTimers.java
@@ -3,7 +3,7 @@
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
 
-/** Timers of a Netty event loop. Confined to the event loop. */
+/** Timers on a Netty event loop. Confined to the event loop. */
 public final class EventLoopTimers implements Timers {
     private final EventLoop loop;
 
--- a/relay/src/main/java/org/damaskmoor/relay/internal/time/Timers.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/time/Timers.java
@@ -1,8 +1,8 @@
 package org.damaskmoor.relay.internal.time;
 
-/** Runs tasks later, on the event loop. Confined to the event loop. */
+/** Schedules tasks on the event loop. Confined to the event loop. */
 public interface Timers {
-    /** Takes a task back. */
+    /** Cancels a scheduled task. */
     @FunctionalInterface
     interface Cancellation {
         void cancel();
@@ -14,6 +14,6 @@
     /** Runs the task after a delay in milliseconds. */
     Cancellation schedule(long milliseconds, Runnable task);
 
-    /** Runs the task soon, after what runs now. */
+    /** Runs the task soon, after the current one. */
     void execute(Runnable task);
 }
--- a/relay/src/test/java/org/damaskmoor/relay/CallerProtocolTest.java
+++ b/relay/src/test/java/org/damaskmoor/relay/CallerProtocolTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What callers may send, and what they get for it. */
+/** Requests of callers, valid and invalid, and the replies to them. */
 class CallerProtocolTest {
     private TestFleet fleet;
     private UpstreamStandIn upstream;
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void should_serve_requests_that_were_sent_together_in_their_order() throws Exception {
+    void should_answer_pipelined_requests_in_order() throws Exception {
         // given
         upstream.setScript(
                 (request, connection) -> {
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void should_pass_a_chunked_body_on_whole() throws Exception {
+    void should_forward_a_complete_chunked_body() throws Exception {
         // when
         try (RawCaller caller = relay.caller()) {
             RawCaller.Answer answer =
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void should_ask_for_the_body_of_a_caller_that_waits_to_be_asked() throws Exception {
+    void should_send_100_continue_when_the_caller_expects_it() throws Exception {
         // when
         try (RawCaller caller = relay.caller()) {
             RawCaller.Answer interim =
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void should_never_pass_on_what_a_caller_says_of_its_own_service() throws Exception {
+    void should_not_forward_headers_that_only_nodes_may_set() throws Exception {
         // when
         try (RawCaller caller = relay.caller()) {
             caller.exchange(
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void should_refuse_what_can_not_be_read_and_close() throws Exception {
+    void should_refuse_malformed_requests_and_close() throws Exception {
         assertRefused("GET / HTTP/1.1\r\nHost shop\r\n\r\n", 400);
         assertRefused("GET /read/1 HTTP/1.1\r\nX: " + "x".repeat(5000) + "\r\n\r\n", 431);
         assertRefused(
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void should_answer_404_where_no_route_leads() throws Exception {
+    void should_answer_404_when_no_route_matches() throws Exception {
         // when
         try (RawCaller caller = relay.caller()) {
             // then
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void should_find_a_request_in_the_log_by_its_id() throws Exception {
+    void should_log_a_request_with_its_id() throws Exception {
         // when
         try (RawCaller caller = relay.caller()) {
             caller.exchange(RawCaller.get("/read/1", "to-be-found"));
--- a/relay/src/test/java/org/damaskmoor/relay/PlatformNameIsolationTest.java
+++ b/relay/src/test/java/org/damaskmoor/relay/PlatformNameIsolationTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 
 class PlatformNameIsolationTest {
-    /** Header names, paths and fields that the users' pages define. */
-    private static final Pattern WORDS =
+    /** Header names, paths and fields of the platform's protocol. */
+    private static final Pattern PLATFORM_NAMES =
             Pattern.compile(
                     "\"(Request-Id|Deadline-Ms|Expect-Instance|Caller-Service|Server-Stamp"
                             + "|Server-Load|Not-Executed|Instance-Id|weightedSplit|targetLatency"
@@ -21,27 +21,27 @@
                             + "|/v1/|rows-|Instances\\.");
 
     @Test
-    void should_keep_the_words_of_the_platform_in_its_folder() throws IOException {
+    void should_use_names_of_the_platform_protocol_in_its_module_only() throws IOException {
         // when
-        List<String> strays = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
         for (String module :
                 List.of("core", "relay", "mesh", "node", "operator", "report", "soak")) {
             try (Stream<Path> files = Files.walk(Path.of("..", module, "src", "main"))) {
                 files.filter(file -> file.toString().endsWith(".java"))
-                        .filter(PlatformNameIsolationTest::holdsWord)
-                        .forEach(file -> strays.add(file.toString()));
+                        .filter(PlatformNameIsolationTest::containsPlatformName)
+                        .forEach(file -> violations.add(file.toString()));
             }
         }
 
         // then
-        assertThat(strays).isEmpty();
+        assertThat(violations).isEmpty();
     }
 
-    private static boolean holdsWord(Path file) {
+    private static boolean containsPlatformName(Path file) {
         try {
-            return WORDS.matcher(Files.readString(file)).find();
-        } catch (IOException unreadable) {
-            throw new IllegalStateException(unreadable);
+            return PLATFORM_NAMES.matcher(Files.readString(file)).find();
+        } catch (IOException failure) {
+            throw new IllegalStateException(failure);
         }
     }
 }
--- a/relay/src/test/java/org/damaskmoor/relay/RelayFailureTest.java
+++ b/relay/src/test/java/org/damaskmoor/relay/RelayFailureTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Several relays with one store, while something fails. */
+/** Relays that share one store, while the store, a node or an upstream fails. */
 class RelayFailureTest {
     private TestFleet fleet;
     private UpstreamStandIn upstream;
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void should_carry_a_request_to_the_node_beside_its_upstream() throws Exception {
+    void should_forward_a_request_to_the_node_beside_its_upstream() throws Exception {
         // when
         RawCaller.Answer answer = ask(RawCaller.post("/order/1", "r1", "body"));
 
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void should_put_a_newer_configuration_in_force_and_never_an_older_one() throws Exception {
+    void should_apply_newer_configurations_only() throws Exception {
         // given
         String more = "," + ConfigurationJson.route("more", "/more/", "idempotent");
         assertThat(ask(RawCaller.get("/more/1", "r1")).status()).isEqualTo(404);
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void should_follow_the_configuration_after_the_store_forgot_its_history() throws Exception {
+    void should_apply_configurations_after_the_store_dropped_its_history() throws Exception {
         // given
         fleet.store.compact();
 
@@ -93,18 +93,23 @@
     }
 
     @Test
-    void should_learn_fleet_and_configuration_from_a_seed_when_the_store_turns_a_node_away()
+    void should_get_members_and_configuration_from_a_seed_when_the_store_is_unavailable()
             throws Exception {
-        // given a node for which the store is away from the start
-        try (StoreStandIn away = new StoreStandIn()) {
-            away.setMode(StoreStandIn.Mode.UNAVAILABLE);
+        // given a node whose store is unavailable from the start
+        try (StoreStandIn unavailableStore = new StoreStandIn()) {
+            unavailableStore.setMode(StoreStandIn.Mode.UNAVAILABLE);
             InetSocketAddress links = new InetSocketAddress("127.0.0.3", target.links().getPort());
             List<String> seeds = List.of(target.links().getHostString() + ":1");
 
             // when
             try (InProcessRelay alone =
                     new InProcessRelay(
-                            "alone", "other", unused.address(), away.address(), links, seeds)) {
+                            "alone",
+                            "other",
+                            unused.address(),
+                            unavailableStore.address(),
+                            links,
+                            seeds)) {
                 TestFleet.await(alone::isReady);
                 TestFleet.await(() -> alone.log().contains("event=member-added node=target"));
 
@@ -118,7 +123,7 @@
     }
 
     @Test
-    void should_say_at_once_when_the_store_is_back() throws Exception {
+    void should_log_that_the_store_answers_again() throws Exception {
         // given
         fleet.store.setMode(StoreStandIn.Mode.UNAVAILABLE);
         TestFleet.await(() -> entry.log().contains("event=store-lost"));
@@ -131,7 +136,7 @@
     }
 
     @Test
-    void should_serve_on_while_the_store_is_away() throws Exception {
+    void should_keep_serving_while_the_store_is_unavailable() throws Exception {
         // given
         ask(RawCaller.get("/read/1", "r0"));
 
@@ -145,7 +150,7 @@
     }
 
     @Test
-    void should_hand_nothing_to_an_upstream_that_has_said_that_it_leaves() throws Exception {
+    void should_send_no_call_to_a_draining_upstream() throws Exception {
         // given
         ask(RawCaller.get("/read/1", "r0"));
 
@@ -159,8 +164,7 @@
     }
 
     @Test
-    void should_send_no_call_to_another_node_that_has_the_address_of_a_former_one()
-            throws Exception {
+    void should_send_no_call_to_a_node_that_reuses_an_address() throws Exception {
         // given
         ask(RawCaller.get("/read/1", "r0"));
         target.kill();
@@ -186,9 +190,8 @@
     }
 
     @Test
-    void should_not_cut_calls_of_a_node_when_a_former_owner_of_its_address_is_still_listed()
-            throws Exception {
-        // given the row of a node that has gone, with the address of the target
+    void should_keep_open_calls_when_a_stale_record_has_the_same_address() throws Exception {
+        // given a call that is open at the target
         ask(RawCaller.get("/read/1", "r0"));
         upstream.setScript(
                 (request, connection) -> {
@@ -199,17 +202,17 @@
                 CompletableFuture.supplyAsync(() -> askUnchecked(RawCaller.get("/read/1", "r1")));
         TestFleet.await(() -> upstream.runCount("r1") == 1);
 
-        // when a node is listed under the same address and is called
-        try (InProcessRelay ghost =
+        // when the stale record of another node has the same address, and that node is called
+        try (InProcessRelay formerOwner =
                 new InProcessRelay(
                         "ghost",
                         "books",
                         upstream.address(),
                         fleet.store.address(),
-                        InProcessRelay.free(),
+                        InProcessRelay.freeAddress(),
                         target.links(),
                         List.of())) {
-            ghost.announce("i-1", 100, 1, "ready");
+            formerOwner.announce("i-1", 100, 1, "ready");
             TestFleet.await(() -> entry.log().contains("event=member-added node=ghost"));
         }
         TestFleet.await(
@@ -223,7 +226,7 @@
     }
 
     @Test
-    void should_end_what_was_begun_in_a_planned_stop() throws Exception {
+    void should_finish_open_calls_in_a_planned_stop() throws Exception {
         // given
         upstream.setScript(
                 (request, connection) -> {
@@ -245,7 +248,7 @@
     }
 
     @Test
-    void should_answer_what_is_still_open_at_the_end_of_a_planned_stop() throws Exception {
+    void should_answer_open_requests_at_the_end_of_a_planned_stop() throws Exception {
         // given
         upstream.setScript((request, connection) -> Thread.sleep(10_000));
         long started = System.nanoTime();
@@ -263,7 +266,7 @@
     }
 
     @Test
-    void should_run_once_and_tell_unknown_when_the_target_dies_with_a_non_idempotent_call()
+    void should_run_once_and_report_unknown_when_the_target_dies_during_a_non_idempotent_call()
             throws Exception {
         // given
         upstream.setScript((request, connection) -> Thread.sleep(5000));
@@ -281,7 +284,7 @@
     }
 
     @Test
-    void should_try_another_target_when_one_dies_with_an_idempotent_call() throws Exception {
+    void should_retry_an_idempotent_call_when_its_target_dies() throws Exception {
         // given
         try (UpstreamStandIn second = new UpstreamStandIn();
                 InProcessRelay other = fleet.relay("zother", second)) {
@@ -305,7 +308,7 @@
     }
 
     @Test
-    void should_remove_its_record_when_its_upstream_has_gone_for_good() throws Exception {
+    void should_remove_its_record_when_its_upstream_has_deregistered() throws Exception {
         // given
         TestFleet.await(() -> fleet.store.containsRow("members", "target"));
 
--- a/relay/src/test/java/org/damaskmoor/relay/RelaySettingsReaderTest.java
+++ b/relay/src/test/java/org/damaskmoor/relay/RelaySettingsReaderTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void should_list_all_faults_at_once() {
+    void should_report_all_faults_together() {
         // given
         Properties properties = properties();
         properties.remove("node-id");
@@ -32,13 +32,13 @@
         properties.setProperty("retry-ratio", "-1");
 
         // when
-        SettingsException refused =
+        SettingsException rejected =
                 assertThrows(SettingsException.class, () -> RelaySettingsReader.read(properties));
 
         // then
-        assertThat(refused.faults()).hasSize(4);
-        assertThat(refused).hasMessageThat().contains("node-id is required");
-        assertThat(refused).hasMessageThat().contains("drain has the value '2500'");
+        assertThat(rejected.faults()).hasSize(4);
+        assertThat(rejected).hasMessageThat().contains("node-id is required");
+        assertThat(rejected).hasMessageThat().contains("drain has the value '2500'");
     }
 
     private static Properties properties() {
--- a/relay/src/test/java/org/damaskmoor/relay/StoreReaderCoordinatorTest.java
+++ b/relay/src/test/java/org/damaskmoor/relay/StoreReaderCoordinatorTest.java
@@ -14,21 +14,24 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Relays of one data centre that leave reading the store to one of them. */
+/** Relays of one data centre, of which one reads the store for the others. */
 class StoreReaderCoordinatorTest {
     private static final int RELAYS = 6;
     private static final int CHANGES = 3;
 
-    /** Longer than a node rests that asks by itself. */
+    /** Longer than the poll delay of a reader, so that each change costs it a call of its own. */
     private static final long BETWEEN_CHANGES_MILLISECONDS = 1000;
 
-    /** Both tables read and waited for, the own record written, and a rest that ends. */
-    private static final int CALLS_OF_A_START = 7;
+    /**
+     * Store calls of a starting node: both tables are read and watched, its record is written, and
+     * delays end with another call.
+     */
+    private static final int STORE_CALLS_PER_START = 7;
 
-    private static final String MORE =
+    private static final String ADDED_ROUTE =
             "," + ConfigurationJson.route("more", "/more/", "idempotent");
 
-    /** A configuration is to be in force this long after the store has it. */
+    /** Longest time from the change in the store until it is in force at all nodes. */
     private static final long IN_FORCE_MILLISECONDS = 2500;
 
     private final List<InProcessRelay> relays = new ArrayList<>();
@@ -46,8 +49,9 @@
             TestFleet.await(() -> members(relay) == RELAYS - 1);
         }
         TestFleet.await(
-                () -> relays.stream().filter(StoreReaderCoordinatorTest::reads).count() == 1);
-        TestFleet.await(() -> relays.stream().allMatch(relay -> reads(relay) || isResting(relay)));
+                () -> relays.stream().filter(StoreReaderCoordinatorTest::isReader).count() == 1);
+        TestFleet.await(
+                () -> relays.stream().allMatch(relay -> isReader(relay) || isInformed(relay)));
     }
 
     @AfterEach
@@ -60,7 +64,7 @@
     }
 
     @Test
-    void should_learn_of_new_members_from_the_reader() throws Exception {
+    void should_get_new_members_from_the_reader() throws Exception {
         // given
         int before = fleet.store.callCount();
 
@@ -75,7 +79,7 @@
         for (InProcessRelay relay : relays) {
             TestFleet.await(() -> members(relay) == RELAYS - 1 + CHANGES);
         }
-        long ownCalls = CHANGES * CALLS_OF_A_START;
+        long ownCalls = CHANGES * STORE_CALLS_PER_START;
         assertThat(fleet.store.callCount() - before - ownCalls).isLessThan(CHANGES * RELAYS);
         for (InProcessRelay relay : joined) {
             relay.close();
@@ -83,14 +87,17 @@
     }
 
     @Test
-    void should_put_a_change_in_force_in_time_when_the_reader_is_gone() throws Exception {
+    void should_apply_a_change_in_time_when_the_reader_is_killed() throws Exception {
         // given
         InProcessRelay reader =
-                relays.stream().filter(StoreReaderCoordinatorTest::reads).findFirst().orElseThrow();
+                relays.stream()
+                        .filter(StoreReaderCoordinatorTest::isReader)
+                        .findFirst()
+                        .orElseThrow();
         reader.kill();
 
         // when
-        fleet.store.putConfiguration(ConfigurationJson.of(7, MORE));
+        fleet.store.putConfiguration(ConfigurationJson.of(7, ADDED_ROUTE));
         long changed = System.nanoTime();
 
         // then
@@ -104,7 +111,7 @@
     }
 
     @Test
-    void should_learn_that_the_store_is_back_from_the_reader() throws Exception {
+    void should_poll_the_store_when_the_reader_finds_it_available_again() throws Exception {
         // given
         fleet.store.setMode(StoreStandIn.Mode.UNAVAILABLE);
         for (InProcessRelay relay : relays) {
@@ -113,7 +120,7 @@
 
         // when
         fleet.store.setMode(StoreStandIn.Mode.NORMAL);
-        fleet.store.putConfiguration(ConfigurationJson.of(7, MORE));
+        fleet.store.putConfiguration(ConfigurationJson.of(7, ADDED_ROUTE));
 
         // then
         for (InProcessRelay relay : relays) {
@@ -131,13 +138,13 @@
         return relay.log().lines().filter(line -> line.contains("event=member-added")).count();
     }
 
-    private static boolean reads(InProcessRelay relay) {
+    private static boolean isReader(InProcessRelay relay) {
         int last = relay.log().lastIndexOf("event=store-reader");
         return last >= 0 && relay.log().startsWith("event=store-reader reads=true", last);
     }
 
-    /** Whether it no longer waits for changes at the store by itself. */
-    private static boolean isResting(InProcessRelay relay) {
+    /** Whether the node gets members from a reader instead of polling the store. */
+    private static boolean isInformed(InProcessRelay relay) {
         return relay.log().contains("event=store-informed");
     }
 }
--- a/relay/src/test/java/org/damaskmoor/relay/UpstreamProtocolTest.java
+++ b/relay/src/test/java/org/damaskmoor/relay/UpstreamProtocolTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What upstreams may send, and what callers may get for it. */
+/** Answers, refusals and faults of an upstream, and what callers get for them. */
 class UpstreamProtocolTest {
     private TestFleet fleet;
     private UpstreamStandIn upstream;
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void should_pass_on_status_body_and_proof_of_a_whole_answer() throws Exception {
+    void should_forward_status_body_and_headers_of_a_complete_answer() throws Exception {
         // when
         RawCaller.Answer answer = ask(RawCaller.get("/read/1?x=%20y", "r1"));
 
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void should_skip_an_extra_answer_that_comes_with_the_first() throws Exception {
+    void should_skip_a_duplicate_answer_sent_together_with_the_first() throws Exception {
         // given
         upstream.setScript(
                 (request, connection) -> {
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void should_skip_an_extra_answer_that_comes_in_the_place_of_the_next() throws Exception {
+    void should_skip_a_duplicate_answer_sent_before_the_next_request() throws Exception {
         // given
         upstream.setScript(
                 (request, connection) -> {
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void should_not_pass_on_an_answer_that_was_cut_off() throws Exception {
+    void should_not_forward_a_truncated_answer() throws Exception {
         // given
         upstream.setScript(
                 (request, connection) -> {
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void should_pass_on_an_answer_without_length_that_ends_with_its_connection() throws Exception {
+    void should_forward_an_answer_without_length_that_ends_with_its_connection() throws Exception {
         // given
         upstream.setScript(
                 (request, connection) -> {
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void should_not_pass_on_an_answer_without_length_that_was_reset() throws Exception {
+    void should_not_forward_an_answer_without_length_whose_connection_was_reset() throws Exception {
         // given
         upstream.setScript(
                 (request, connection) -> {
@@ -141,7 +141,7 @@
     }
 
     @Test
-    void should_not_pass_on_bytes_that_are_no_answer() throws Exception {
+    void should_not_forward_bytes_that_are_not_http() throws Exception {
         // given
         upstream.setScript(
                 (request, connection) -> {
@@ -154,7 +154,7 @@
     }
 
     @Test
-    void should_tell_not_run_when_the_upstream_says_so() throws Exception {
+    void should_report_not_run_when_the_upstream_does() throws Exception {
         // given
         upstream.setScript(
                 (request, connection) ->
@@ -172,7 +172,7 @@
     }
 
     @Test
-    void should_not_take_a_late_refusal_of_another_request_for_its_own() throws Exception {
+    void should_skip_a_late_refusal_of_another_request() throws Exception {
         // given
         upstream.setScript(
                 (request, connection) -> {
@@ -187,7 +187,8 @@
     }
 
     @Test
-    void should_answer_at_the_timeout_of_the_route_when_the_upstream_is_silent() throws Exception {
+    void should_answer_at_the_timeout_of_the_route_when_the_upstream_does_not_answer()
+            throws Exception {
         // given
         upstream.setScript((request, connection) -> Thread.sleep(10_000));
         long started = System.nanoTime();
@@ -196,15 +197,14 @@
         RawCaller.Answer answer = ask(RawCaller.get("/read/1", "r1"));
 
         // then
-        long took = (System.nanoTime() - started) / 1_000_000;
+        long tookMilliseconds = (System.nanoTime() - started) / 1_000_000;
         assertThat(answer.status()).isEqualTo(504);
-        assertThat(took).isAtLeast(1900L);
-        assertThat(took).isAtMost(2500L);
+        assertThat(tookMilliseconds).isAtLeast(1900L);
+        assertThat(tookMilliseconds).isAtMost(2500L);
     }
 
     @Test
-    void should_run_a_request_that_may_not_be_repeated_once_although_its_answer_is_lost()
-            throws Exception {
+    void should_run_a_non_idempotent_request_once_when_its_answer_is_lost() throws Exception {
         // given
         upstream.setScript((request, connection) -> connection.reset());
 
@@ -217,7 +217,7 @@
     }
 
     @Test
-    void should_hand_nothing_to_another_upstream_that_has_the_address() throws Exception {
+    void should_refuse_when_another_upstream_has_the_address() throws Exception {
         // given
         upstream.setScript(
                 (request, connection) ->
@@ -230,7 +230,7 @@
     }
 
     @Test
-    void should_drop_the_request_at_the_upstream_when_the_caller_leaves() throws Exception {
+    void should_abandon_the_call_when_the_caller_disconnects() throws Exception {
         // given
         java.util.concurrent.CountDownLatch dropped = new java.util.concurrent.CountDownLatch(1);
         upstream.setScript(
@@ -251,7 +251,7 @@
     }
 
     @Test
-    void should_start_nothing_in_a_slow_moment_of_the_vm() throws Exception {
+    void should_start_no_call_while_the_vm_is_briefly_slow() throws Exception {
         // given
         ask(RawCaller.get("/read/1", "first"));
         upstream.setLoad("0,0,9,100");
