--- a/relay/src/main/java/org/damaskmoor/relay/internal/entry/EntryExchange.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/entry/EntryExchange.java
@@ -340,7 +340,7 @@
                 context.statistics().meanKilobytes(route.name()));
     }
 
-    /** Only a non-idempotent request waits for the result; an idempotent one is sent again. */
+    /** Seals a lost attempt, unless the request is idempotent and can be sent again without it. */
     private void seal(AttemptId attempt) {
         SentAttempt sent = attempts.get(attempt.attempt());
         sent.end();
