--- a/node/src/main/java/org/damaskmoor/node/MembershipEventForwarder.java
+++ b/node/src/main/java/org/damaskmoor/node/MembershipEventForwarder.java
@@ -8,7 +8,7 @@
 import org.damaskmoor.node.internal.members.MembershipManager;
 import org.damaskmoor.schema.gossip.MemberRecord;
 
-/** Passes on what membership finds to the other duties. Called on the control event loop. */
+/** Forwards membership changes to the other components. Called on the control event loop. */
 final class MembershipEventForwarder implements MembershipManager.MembershipListener {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
@@ -29,17 +29,17 @@
     }
 
     @Override
-    public void onPublished() {
+    public void onDirectoryPublished() {
         entry.onMembersChanged();
     }
 
     @Override
-    public void onPresent(MemberRecord member) {
+    public void onMemberPresent(MemberRecord member) {
         accounting.onMemberPresent(member);
     }
 
     @Override
-    public void onGone(MemberRecord member) {
+    public void onMemberGone(MemberRecord member) {
         accounting.onMemberGone(member);
         configuration.forget(new NodeId(member.getNodeId()));
     }
--- a/node/src/main/java/org/damaskmoor/node/NodeCommand.java
+++ b/node/src/main/java/org/damaskmoor/node/NodeCommand.java
@@ -29,12 +29,12 @@
 public final class NodeCommand extends NodeSettingsOptions {
     @AirlineModule private HelpOption<NodeCommand> help;
 
-    /** Shows the help if it was asked for. */
+    /** Prints the help if it was requested; returns whether it did. */
     boolean showHelpIfRequested() {
         return help.showHelpIfRequested();
     }
 
-    /** Reads and checks the settings. */
+    /** Reads and validates the settings. */
     NodeSettings settings(Map<String, String> environment) throws SettingsException {
         return SettingsReader.read(NodeSettings.getDefaultInstance(), given(), environment);
     }
--- a/node/src/main/java/org/damaskmoor/node/NodeLogging.java
+++ b/node/src/main/java/org/damaskmoor/node/NodeLogging.java
@@ -7,13 +7,13 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** Sets up logs: one line of key=value pairs for each event, on standard error. Stateless. */
+/** Configures logging: one line of key=value pairs per event, on standard error. Stateless. */
 final class NodeLogging {
     private static final Logger ROOT = Logger.getLogger("");
 
     private NodeLogging() {}
 
-    /** Logs events of the given severity and graver ones. */
+    /** Logs events of the given severity and above. */
     static void configure(String level) {
         for (java.util.logging.Handler handler : ROOT.getHandlers()) {
             ROOT.removeHandler(handler);
--- a/node/src/main/java/org/damaskmoor/node/NodeMain.java
+++ b/node/src/main/java/org/damaskmoor/node/NodeMain.java
@@ -10,7 +10,7 @@
 import org.damaskmoor.node.internal.security.NodeTls;
 import org.damaskmoor.schema.settings.NodeSettings;
 
-/** Entry point of the binary damaskmoor-node. */
+/** Main class of the damaskmoor-node binary. */
 public final class NodeMain {
     private static final int EXIT_PLANNED_STOP = 0;
     private static final int EXIT_NOT_STARTED = 1;
@@ -22,23 +22,23 @@
         System.exit(run(arguments, ChannelCustomizer.NONE));
     }
 
-    /** Runs a node until it is told to stop; returns the exit code. */
+    /** Runs a node until it is stopped; returns the exit code. */
     public static int run(String[] arguments, ChannelCustomizer customizer) {
         NodeSettings settings;
-        Optional<NodeTls> security;
+        Optional<NodeTls> tls;
         try {
             NodeCommand command = SingleCommand.singleCommand(NodeCommand.class).parse(arguments);
             if (command.showHelpIfRequested()) {
                 return EXIT_PLANNED_STOP;
             }
             settings = command.settings(System.getenv());
-            security = NodeTls.read(settings);
+            tls = NodeTls.read(settings);
         } catch (SettingsException | ParseException unusable) {
             System.err.println(unusable.getMessage());
             return EXIT_BAD_SETTING;
         }
         NodeLogging.configure(settings.getLogLevel());
-        return start(new NodeProcess(settings, security, customizer));
+        return start(new NodeProcess(settings, tls, customizer));
     }
 
     private static int start(NodeProcess node) {
@@ -53,7 +53,10 @@
         return EXIT_PLANNED_STOP;
     }
 
-    /** A planned stop ends with 0, although a signal asked for it. */
+    /**
+     * Exits with 0 after a graceful shutdown, where the JVM would exit with the number of the
+     * signal.
+     */
     private static void stop(NodeProcess node) {
         node.stop().join();
         Runtime.getRuntime().halt(EXIT_PLANNED_STOP);
--- a/node/src/main/java/org/damaskmoor/node/NodeOptions.java
+++ b/node/src/main/java/org/damaskmoor/node/NodeOptions.java
@@ -7,8 +7,8 @@
 import org.damaskmoor.core.routing.Router;
 
 /**
- * What a benchmark may change in a node that it runs itself; the shipped binary has no flags for
- * it.
+ * Options of a node that benchmarks run in their own process; the released binary has no flags for
+ * them.
  *
  * <pre>{@code
  * NodeOptions random =
@@ -17,17 +17,17 @@
  *
  * <p>Immutable and thread-safe.
  *
- * @param policy how to choose a target, from the number of candidates that is sampled
+ * @param policy creates the policy that chooses a target, given the number of sampled candidates
  * @param furtherAttempts whether requests are retried and hedged
- * @param ejection whether failing upstreams lose traffic
- * @param observer put around the router of each service, on the caller event loop
+ * @param ejection whether failing upstreams are ejected
+ * @param observer wraps the router of each service, on the caller event loop
  */
 public record NodeOptions(
         IntFunction<ChoicePolicy> policy,
         boolean furtherAttempts,
         boolean ejection,
         UnaryOperator<Router> observer) {
-    /** What the shipped binary runs. */
+    /** The options of the released binary. */
     public static final NodeOptions PRODUCT =
             new NodeOptions(
                     ChoicePolicies::expectedCompletion, true, true, UnaryOperator.identity());
--- a/node/src/main/java/org/damaskmoor/node/NodeProcess.java
+++ b/node/src/main/java/org/damaskmoor/node/NodeProcess.java
@@ -59,7 +59,7 @@
 import org.damaskmoor.schema.settings.NodeSettings;
 
 /**
- * One node: the process beside an upstream VM, with all of its duties.
+ * One node: the process that runs beside an upstream VM, with all of its components.
  *
  * <pre>{@code
  * NodeProcess node = new NodeProcess(settings, Optional.empty(), ChannelCustomizer.NONE);
@@ -67,7 +67,8 @@
  * node.stop().join();
  * }</pre>
  *
- * <p>Thread-safe. Each duty has one thread; duties exchange messages through bounded rings.
+ * <p>Thread-safe. Invariant: each component is confined to one event loop; components exchange
+ * messages through bounded mailboxes or tasks on each other's event loops.
  */
 public final class NodeProcess {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -87,7 +88,7 @@
     private final GossipTransport gossip;
     private final AccountingManager accounting;
     private final EntryProxy entry;
-    private final CrashDetector crashes;
+    private final CrashDetector crashDetector;
     private final TargetProxy target;
     private final ConfigurationManager configuration;
     private final MembershipManager membership;
@@ -98,24 +99,23 @@
     /**
      * Creates a node that is not started.
      *
-     * @param settings checked settings
-     * @param security TLS towards other nodes and operators, or empty for none
-     * @param customizer changes each channel to other nodes before it is used
+     * @param settings validated settings
+     * @param tls TLS for other nodes and operators, or empty for none
+     * @param customizer customizes each channel to other nodes before it is used
      */
-    public NodeProcess(
-            NodeSettings settings, Optional<NodeTls> security, ChannelCustomizer customizer) {
-        this(settings, security, customizer, NodeOptions.PRODUCT);
+    public NodeProcess(NodeSettings settings, Optional<NodeTls> tls, ChannelCustomizer customizer) {
+        this(settings, tls, customizer, NodeOptions.PRODUCT);
     }
 
-    /** Creates a node that a benchmark has changed. */
+    /** Creates a node with options for benchmarks. */
     public NodeProcess(
             NodeSettings settings,
-            Optional<NodeTls> security,
+            Optional<NodeTls> tls,
             ChannelCustomizer customizer,
             NodeOptions options) {
         this.settings = settings;
         this.loads = new LoadMeasurementFactory(settings, metrics, members, System::nanoTime);
-        this.parameters = new ComponentSettings(settings, security, options);
+        this.parameters = new ComponentSettings(settings, tls, options);
         this.self = new NodeId(settings.getNodeId());
         Incarnation incarnation = new Incarnation(System.currentTimeMillis());
         platform = new PlatformClient(PlatformClientLimits.defaults(), new SplittableRandom());
@@ -123,7 +123,7 @@
         ServiceTable serviceTable = new PlatformServiceTable(tables);
         mesh =
                 new NettyMeshTransport(
-                        parameters.mesh(incarnation), new FrameRouter(receivers()), customizer);
+                        parameters.mesh(incarnation), new FrameRouter(handlers()), customizer);
         gossip =
                 new GossipTransport(
                         new InetSocketAddress(settings.getAddress(), settings.getGossipPort()),
@@ -132,9 +132,9 @@
         accounting =
                 AccountingFactory.create(
                         settings, incarnation, callerLoop, accountingLoop, members, mesh, platform);
-        crashes = new CrashDetector(self, incarnation, System::nanoTime, this::spread);
-        target = targetDuty(incarnation);
-        entry = entryDuty(incarnation);
+        crashDetector = new CrashDetector(self, incarnation, System::nanoTime, this::broadcast);
+        target = createTargetProxy(incarnation);
+        entry = createEntryProxy(incarnation);
         configuration =
                 new ConfigurationManager(
                         controlLoop::execute,
@@ -150,7 +150,7 @@
                         configuration.createGossip(
                                 (peer, versions) ->
                                         membership().protocol().sendVersions(peer, versions),
-                                record -> crashes().merge(record)),
+                                record -> crashDetector().merge(record)),
                         new SeedNodeRegistry(tables),
                         members,
                         new MembershipEventForwarder(self, entry, accounting, configuration),
@@ -166,7 +166,7 @@
                         this::isReady,
                         target::drain,
                         new MetricsFormatter(metrics));
-        operators = operatorServer(serviceTable);
+        operators = createOperatorServer(serviceTable);
         registerGauges();
     }
 
@@ -177,22 +177,22 @@
                 .thenCompose(address -> control.start())
                 .thenCompose(done -> operators.start())
                 .thenCompose(done -> entry.start())
-                .thenRun(this::startTicks);
+                .thenRun(this::startPeriodicTasks);
     }
 
-    /** Whether this node takes callers. */
+    /** Whether this node accepts callers. */
     public boolean isReady() {
         return configuration.isReady() && !stopping;
     }
 
-    /** The members that this node knows of. */
+    /** The members known to this node. */
     public MemberDirectory members() {
         return members;
     }
 
     /**
-     * A planned stop: takes no new work, finishes what is in flight within the drain timeout, tells
-     * the other nodes, and ends.
+     * Shuts down gracefully: accepts no new work, finishes requests in flight within the drain
+     * timeout, tells the other nodes, and stops.
      */
     public CompletableFuture<Void> stop() {
         stopping = true;
@@ -233,17 +233,17 @@
         logger.atInfo().log("event=node-stopped node=%s", self);
     }
 
-    private void startTicks() {
+    private void startPeriodicTasks() {
         accounting.start();
         controlLoop.execute(
                 () -> configuration.requestAll(membership.nearestPeers(), monotonicMilliseconds()));
-        SplittableRandom turns = new SplittableRandom();
+        SplittableRandom rng = new SplittableRandom();
         controlLoop.every(
                 MembershipProtocol.TICK_MILLISECONDS,
                 () -> {
                     membership.tick();
                     configuration.tick(
-                            membership.nearestPeers(), turns.nextDouble(), monotonicMilliseconds());
+                            membership.nearestPeers(), rng.nextDouble(), monotonicMilliseconds());
                 });
         logger.atInfo().log(
                 "event=node-started node=%s http_port=%d", self, settings.getHttpPort());
@@ -252,17 +252,17 @@
     private void registerGauges() {
         new NodeGauges(metrics)
                 .add(NodeMetric.OPEN_REQUESTS, entry::openRequests)
-                .add(NodeMetric.CRASHES, crashes::recordCount)
+                .add(NodeMetric.CRASHES, crashDetector::recordCount)
                 .addLoad(target::lastLoad)
                 .addMembers(members::count)
                 .addGossip(gossip.traffic());
     }
 
-    private CrashDetector crashes() {
-        return crashes;
+    private CrashDetector crashDetector() {
+        return crashDetector;
     }
 
-    private void spread(QuarantineRecord record) {
+    private void broadcast(QuarantineRecord record) {
         controlLoop.execute(() -> membership.protocol().broadcast(record));
     }
 
@@ -270,8 +270,8 @@
         return membership;
     }
 
-    private OperatorServer operatorServer(ServiceTable table) {
-        OperatorDependencies parts =
+    private OperatorServer createOperatorServer(ServiceTable table) {
+        OperatorDependencies deps =
                 new OperatorDependencies(
                         self,
                         controlLoop::execute,
@@ -282,14 +282,14 @@
                         target,
                         table);
         return new OperatorServer(
-                parameters.operatorAddress(), parameters.operatorSecurity(), parts.createService());
+                parameters.operatorAddress(), parameters.operatorTls(), deps.createService());
     }
 
-    private FrameHandlers receivers() {
+    private FrameHandlers handlers() {
         return new FrameHandlers(
                 this::onEntryFrame,
                 this::onTargetFrame,
-                (link, frame) -> link.send(loadAnswer()),
+                (link, frame) -> link.send(loadProbeAnswer()),
                 (link, frame) -> controlLoop.execute(() -> configuration.onFrame(link, frame)),
                 (link, frame) -> accounting.onFrame(link, frame),
                 this::onUnsent,
@@ -325,7 +325,7 @@
         }
     }
 
-    private MeshFrame loadAnswer() {
+    private MeshFrame loadProbeAnswer() {
         return MeshFrame.newBuilder()
                 .setLoadProbeAnswer(LoadProbeAnswer.newBuilder().setLoad(target.lastLoad()))
                 .build();
@@ -336,7 +336,7 @@
         controlLoop.execute(() -> membership.receive(message, from));
     }
 
-    private TargetProxy targetDuty(Incarnation incarnation) {
+    private TargetProxy createTargetProxy(Incarnation incarnation) {
         return new TargetProxy(
                 upstreamLoop,
                 incarnation,
@@ -348,34 +348,34 @@
                         incarnation,
                         platform.tableService(URI.create(settings.getTableServiceUrl())),
                         upstreamLoop::execute),
-                crashes,
+                crashDetector,
                 loads.createReportLimiter()::reportFor,
                 this::onUpstreamStatus);
     }
 
-    private EntryProxy entryDuty(Incarnation incarnation) {
-        LoopbackLink selfLink = new LoopbackLink(self, incarnation, frame -> entry.offer(frame));
-        MeshFrameSender carrier =
+    private EntryProxy createEntryProxy(Incarnation incarnation) {
+        LoopbackLink loopback = new LoopbackLink(self, incarnation, frame -> entry.offer(frame));
+        MeshFrameSender frameSender =
                 new MeshFrameSender(
                         self,
                         members,
                         mesh,
-                        frame -> target.offer(selfLink, frame),
+                        frame -> target.offer(loopback, frame),
                         (frame, reason) -> entry.onUnsent(frame, reason));
         ServiceRuntimes runtimes =
-                parameters.runtimes(members, loads.startProber(callerLoop, carrier));
-        EntryDependencies parts =
+                parameters.runtimes(members, loads.startProber(callerLoop, frameSender));
+        EntryDependencies deps =
                 new EntryDependencies(
                         System::nanoTime,
                         System::currentTimeMillis,
                         callerLoop.timers(),
-                        carrier,
+                        frameSender,
                         accounting,
                         new NodeMetrics(metrics, System::nanoTime)
                                 .andThen(
                                         ServiceLevelRecorder.of(
                                                 runtimes::matcher, accounting::onRequestEnded)));
-        return new EntryProxy(callerLoop, self, incarnation, parameters.entry(), runtimes, parts);
+        return new EntryProxy(callerLoop, self, incarnation, parameters.entry(), runtimes, deps);
     }
 
     private void onConfiguration(ServiceMatcher services) {
--- a/node/src/main/java/org/damaskmoor/node/internal/ComponentSettings.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/ComponentSettings.java
@@ -29,51 +29,51 @@
 import org.damaskmoor.schema.settings.NodeSettings;
 
 /**
- * What each part of a node is set to, made from the checked settings of the process.
+ * Derives the settings of each component of a node from the validated settings of the process.
  *
  * <p>Immutable and thread-safe.
  */
 public final class ComponentSettings {
-    private static final int MESH_RING_FRAMES = 16_384;
+    private static final int MESH_QUEUE_FRAMES = 16_384;
     private static final int FRAME_OVERHEAD_BYTES = 256 * 1024;
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
     private static final Duration SILENCE_TIMEOUT = Duration.ofSeconds(1);
 
     private final NodeSettings settings;
-    private final Optional<NodeTls> security;
+    private final Optional<NodeTls> tls;
     private final NodeOptions nodeOptions;
 
     public ComponentSettings(
-            NodeSettings settings, Optional<NodeTls> security, NodeOptions nodeOptions) {
+            NodeSettings settings, Optional<NodeTls> tls, NodeOptions nodeOptions) {
         this.nodeOptions = nodeOptions;
         this.settings = settings;
-        this.security = security;
+        this.tls = tls;
     }
 
-    /** Where operators connect to. */
+    /** The listen address for operators. */
     public InetSocketAddress operatorAddress() {
         return new InetSocketAddress(settings.getOperatorAddress(), settings.getOperatorPort());
     }
 
-    /** TLS towards operators. */
-    public Optional<SslContext> operatorSecurity() {
-        return security.map(NodeTls::operators);
+    /** TLS for operators, if configured. */
+    public Optional<SslContext> operatorTls() {
+        return tls.map(NodeTls::operators);
     }
 
-    /** The mesh's part. */
+    /** Settings of the mesh. */
     public MeshSettings mesh(Incarnation incarnation) {
         return new MeshSettings(
                 new NodeId(settings.getNodeId()),
                 incarnation,
                 new InetSocketAddress(settings.getAddress(), settings.getMeshPort()),
                 settings.getMaximumBodyBytes() + FRAME_OVERHEAD_BYTES,
-                MESH_RING_FRAMES,
+                MESH_QUEUE_FRAMES,
                 CONNECT_TIMEOUT,
                 SILENCE_TIMEOUT,
-                security.map(NodeTls::mesh));
+                tls.map(NodeTls::mesh));
     }
 
-    /** The entry part. */
+    /** Settings of the entry proxy. */
     public EntrySettings entry() {
         EntryLimits limits =
                 new EntryLimits(
@@ -90,7 +90,7 @@
                 Duration.ofMillis(settings.getDrainTimeoutMilliseconds()));
     }
 
-    /** The target part. */
+    /** Limits of the target proxy. */
     public TargetLimits target() {
         return new TargetLimits(
                 settings.getQueueLimit(),
@@ -99,19 +99,19 @@
                 TimeUnit.SECONDS.toMillis(settings.getKeyRetentionSeconds()));
     }
 
-    /** The services that callers of this node use, none yet. */
-    public ServiceRuntimes runtimes(MemberDirectory members, LoadProber probes) {
+    /** Creates the routing state of the entry proxy, which has no services yet. */
+    public ServiceRuntimes runtimes(MemberDirectory members, LoadProber prober) {
         return new ServiceRuntimes(
                 new RegionName(settings.getRegion()),
                 new DataCentreName(settings.getDataCentre()),
-                routing(probes),
+                routing(prober),
                 members,
                 System::nanoTime,
                 new SplittableRandom(),
                 ServiceMatcher.of(List.of()));
     }
 
-    private RoutingDefaults routing(LoadProber probes) {
+    private RoutingDefaults routing(LoadProber prober) {
         RoutingOptions options =
                 new RoutingOptions(
                         settings.getSampledCandidates(),
@@ -122,10 +122,10 @@
                 settings.getRetryBudgetPercent(),
                 nodeOptions.policy(),
                 nodeOptions.furtherAttempts(),
-                (service, router) -> probes.wrap(service, nodeOptions.observer().apply(router)));
+                (service, router) -> prober.wrap(service, nodeOptions.observer().apply(router)));
     }
 
-    /** What other nodes are told of this one at its start. */
+    /** The member record of this node at its start. */
     public MemberRecord self(Incarnation incarnation) {
         return MemberRecord.newBuilder()
                 .setNodeId(settings.getNodeId())
--- a/node/src/main/java/org/damaskmoor/node/internal/accounting/AccountingDependencies.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/accounting/AccountingDependencies.java
@@ -8,18 +8,18 @@
 import org.damaskmoor.platform.ObjectStore;
 
 /**
- * What accounting works with, from outside of it.
+ * External dependencies of the accounting.
  *
  * @param clock the monotonic clock, in nanoseconds
  * @param epochMilliseconds the wall clock
  * @param callers runs tasks on the caller event loop; must not drop them
  * @param accounting runs tasks on the accounting event loop; must not drop them
  * @param timers timers of the accounting event loop
- * @param peers who can keep this node's refusals
- * @param sender sends batches to them
- * @param store where refusals and request counts are flushed to
+ * @param peers the nodes that can store this node's refusals
+ * @param sender sends batches to peers
+ * @param store receives the flushed refusals and request counts
  * @param flushIntervalNanoseconds time between flushes
- * @param random spreads flushes and chooses among peers
+ * @param random adds jitter to flushes and chooses among peers
  */
 public record AccountingDependencies(
         LongSupplier clock,
--- a/node/src/main/java/org/damaskmoor/node/internal/accounting/AccountingFactory.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/accounting/AccountingFactory.java
@@ -15,16 +15,16 @@
 import org.damaskmoor.schema.mesh.MeshFrame;
 import org.damaskmoor.schema.settings.NodeSettings;
 
-/** Puts the accounting of a node together from its settings. Stateless and thread-safe. */
+/** Creates the accounting of a node from its settings. Stateless and thread-safe. */
 public final class AccountingFactory {
     private AccountingFactory() {}
 
     /**
-     * Accounting that is not started.
+     * Creates accounting that is not started.
      *
      * @param callerLoop the caller event loop
-     * @param accountingLoop the event loop that accounting has for itself
-     * @param platform leads to the object store
+     * @param accountingLoop the event loop reserved for accounting
+     * @param platform provides the object store
      */
     public static AccountingManager create(
             NodeSettings settings,
@@ -34,7 +34,7 @@
             MemberDirectory members,
             MeshTransport mesh,
             PlatformClient platform) {
-        AccountingDependencies parts =
+        AccountingDependencies dependencies =
                 new AccountingDependencies(
                         System::nanoTime,
                         System::currentTimeMillis,
@@ -49,13 +49,13 @@
                         platform.objectStore(URI.create(settings.getObjectStoreUrl())),
                         TimeUnit.SECONDS.toNanos(settings.getAccountingFlushSeconds()),
                         new SplittableRandom());
-        return new AccountingManager(new NodeId(settings.getNodeId()), incarnation, parts);
+        return new AccountingManager(new NodeId(settings.getNodeId()), incarnation, dependencies);
     }
 
     private static RefusalBatchSender sender(MemberDirectory members, MeshTransport mesh) {
         return (peer, batch) -> {
             MeshFrame frame = MeshFrame.newBuilder().setRefusalBatch(batch).build();
-            members.peer(peer).ifPresent(known -> mesh.send(known, frame));
+            members.peer(peer).ifPresent(meshPeer -> mesh.send(meshPeer, frame));
         };
     }
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/accounting/AccountingManager.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/accounting/AccountingManager.java
@@ -26,108 +26,122 @@
 import org.damaskmoor.schema.mesh.MeshFrame;
 
 /**
- * The accounting part of a node: holds each refusal at a peer before it is answered, keeps other
- * nodes' refusals, and flushes refusals and request counts to the object store.
+ * The accounting of a node: stores each refusal at a peer before the caller gets its response,
+ * stores refusals of other nodes, and flushes refusals and request counts to the object store.
  *
  * <pre>{@code
  * accounting.start();
  * accounting.record(refusal, id -> reply(id));    // caller event loop
- * accounting.flush(10_000).join();                // planned stop
+ * accounting.flush(10_000).join();                // graceful shutdown
  * }</pre>
  *
- * <p>Thread-safe but for {@link #record}, which belongs to the caller event loop; everything else
- * is handed to the accounting event loop. Invariants: a refusal is answered once, when a peer
- * stored it or its gap is noted; what is flushed counts every refusal once.
+ * <p>Thread-safe except {@link #record}, which is confined to the caller event loop; all other
+ * methods post their work to the accounting event loop. Invariants: the callback of a refusal runs
+ * once, after a peer has stored the refusal or it is counted as a gap; the flushed objects count
+ * every refusal once.
  */
 public final class AccountingManager implements RefusalRecorder {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final int RING_REFUSALS = 16_384;
-    private static final int RING_FRAMES = 4_096;
-    private static final int RING_REQUESTS = 16_384;
-    private static final int BUDDY_KEYS = 262_144;
-    private static final int KEYS_PER_GROUP = 4_096;
-    private static final int REQUEST_KEYS = 4_096;
+    private static final int REFUSAL_MAILBOX_CAPACITY = 16_384;
+    private static final int FRAME_MAILBOX_CAPACITY = 4_096;
+    private static final int REQUEST_MAILBOX_CAPACITY = 16_384;
+    private static final int MAXIMUM_REPLICA_KEYS = 262_144;
+    private static final int MAXIMUM_KEYS_PER_GROUP = 4_096;
+    private static final int MAXIMUM_REQUEST_KEYS = 4_096;
     private static final long RETRY_NANOSECONDS = TimeUnit.MILLISECONDS.toNanos(500);
 
     private record Received(MeshLink link, MeshFrame frame) {}
 
-    private final AccountingDependencies parts;
-    private final RefusalReplicator writer;
-    private final RefusalReplica buddy = new RefusalReplica(BUDDY_KEYS, KEYS_PER_GROUP);
+    private final AccountingDependencies dependencies;
+    private final RefusalReplicator replicator;
+    private final RefusalReplica replica =
+            new RefusalReplica(MAXIMUM_REPLICA_KEYS, MAXIMUM_KEYS_PER_GROUP);
     private final RefusalFlusher refusals;
     private final RequestFlusher requests;
     private final ObjectWriter refusalObjects;
     private final ObjectWriter requestObjects;
-    private final AdaptiveTicker ticks;
+    private final AdaptiveTicker ticker;
     private final RefusalOverflow overflow;
     private final RefusalRecorder intake;
     private final BoundedMailbox<Received> frames;
-    private final BoundedMailbox<CompletedRequest> ended;
-    private final Map<NodeId, Incarnation> present = new HashMap<>();
-    private int unanswered;
-    private CompletableFuture<Void> flushed;
+    private final BoundedMailbox<CompletedRequest> completedRequests;
+    private final Map<NodeId, Incarnation> presentMembers = new HashMap<>();
+    private int unrecorded;
+    private CompletableFuture<Void> pendingFlush;
 
-    /** Creates the duty of one start of a node. */
-    public AccountingManager(NodeId self, Incarnation incarnation, AccountingDependencies parts) {
-        this.parts = parts;
-        writer =
+    /** Creates the accounting of one incarnation of a node. */
+    public AccountingManager(
+            NodeId self, Incarnation incarnation, AccountingDependencies dependencies) {
+        this.dependencies = dependencies;
+        replicator =
                 new RefusalReplicator(
                         self,
                         incarnation,
                         RefusalReplicatorLimits.defaults(),
-                        parts.peers(),
-                        parts.sender(),
-                        parts.random());
+                        dependencies.peers(),
+                        dependencies.sender(),
+                        dependencies.random());
         refusals =
                 new RefusalFlusher(
-                        writer,
-                        buddy,
-                        queue(),
-                        parts.flushIntervalNanoseconds(),
-                        parts.random(),
+                        replicator,
+                        replica,
+                        createWriteQueue(),
+                        dependencies.flushIntervalNanoseconds(),
+                        dependencies.random(),
                         now());
         requests =
                 new RequestFlusher(
                         self,
                         incarnation,
-                        queue(),
-                        parts.flushIntervalNanoseconds(),
-                        REQUEST_KEYS,
-                        parts.random(),
+                        createWriteQueue(),
+                        dependencies.flushIntervalNanoseconds(),
+                        MAXIMUM_REQUEST_KEYS,
+                        dependencies.random(),
                         now());
         refusalObjects =
-                new ObjectWriter(parts.store(), refusals, parts.accounting(), parts.clock());
+                new ObjectWriter(
+                        dependencies.store(),
+                        refusals,
+                        dependencies.accounting(),
+                        dependencies.clock());
         requestObjects =
-                new ObjectWriter(parts.store(), requests, parts.accounting(), parts.clock());
-        ticks = new AdaptiveTicker(parts.timers(), this::isOpen, this::tick);
-        overflow = new RefusalOverflow(parts.callers(), parts.accounting(), this::takeAnswered);
-        intake = intake(self, incarnation);
-        frames = mailbox(RING_FRAMES, this::take);
-        ended = mailbox(RING_REQUESTS, requests::record);
+                new ObjectWriter(
+                        dependencies.store(),
+                        requests,
+                        dependencies.accounting(),
+                        dependencies.clock());
+        ticker = new AdaptiveTicker(dependencies.timers(), this::hasPendingWork, this::tick);
+        overflow =
+                new RefusalOverflow(
+                        dependencies.callers(), dependencies.accounting(), this::recordOverflow);
+        intake = createIntake(self, incarnation);
+        frames = createMailbox(FRAME_MAILBOX_CAPACITY, this::onReceived);
+        completedRequests = createMailbox(REQUEST_MAILBOX_CAPACITY, requests::record);
     }
 
-    private RefusalRecorder intake(NodeId self, Incarnation incarnation) {
-        BoundedMailbox<RefusalIntake.Taken> taken = mailbox(RING_REFUSALS, this::take);
+    private RefusalRecorder createIntake(NodeId self, Incarnation incarnation) {
+        BoundedMailbox<RefusalIntake.PendingRefusal> pending =
+                createMailbox(REFUSAL_MAILBOX_CAPACITY, this::onRefusal);
         return new RefusalIntake(
                 self,
                 incarnation,
-                parts.epochMilliseconds(),
-                parts.callers(),
-                taken::offer,
+                dependencies.epochMilliseconds(),
+                dependencies.callers(),
+                pending::offer,
                 overflow);
     }
 
-    private ObjectWriteQueue queue() {
-        return new ObjectWriteQueue(RETRY_NANOSECONDS, parts.random());
+    private ObjectWriteQueue createWriteQueue() {
+        return new ObjectWriteQueue(RETRY_NANOSECONDS, dependencies.random());
     }
 
-    private <T> BoundedMailbox<T> mailbox(int capacity, Consumer<T> consumer) {
-        return new BoundedMailbox<>(capacity, parts.accounting(), consumer, this::wake);
+    private <T> BoundedMailbox<T> createMailbox(int capacity, Consumer<T> consumer) {
+        return new BoundedMailbox<>(capacity, dependencies.accounting(), consumer, this::wake);
     }
 
-    /** Begins to flush. */
+    /** Starts the periodic flushes. */
     public void start() {
-        parts.accounting().execute(ticks::start);
+        dependencies.accounting().execute(ticker::start);
     }
 
     @Override
@@ -135,15 +149,17 @@
         intake.record(refusal, whenRecorded);
     }
 
-    /** Counts an ended request for the service level. */
+    /** Counts a completed request for the service level. */
     public void onRequestEnded(CompletedRequest request) {
-        if (!ended.offer(request)) {
+        if (!completedRequests.offer(request)) {
             logger.atWarning().atMostEvery(1, TimeUnit.SECONDS).log(
                     "event=request-uncounted step=enqueue peer=accounting reason=ring-full");
         }
     }
 
-    /** Takes a batch of a peer's refusals, or a peer's answer to one of this node's. */
+    /**
+     * Handles a batch of a peer's refusals, or a peer's acknowledgement of a batch of this node.
+     */
     public void onFrame(MeshLink link, MeshFrame frame) {
         if (!frames.offer(new Received(link, frame))) {
             logger.atWarning().atMostEvery(1, TimeUnit.SECONDS).log(
@@ -151,38 +167,38 @@
         }
     }
 
-    /** A member is present, for the first time, again, or in a new incarnation. */
+    /** Handles a member that is present for the first time, again, or in a new incarnation. */
     public void onMemberPresent(MemberRecord member) {
-        parts.accounting().execute(() -> notePresent(member));
+        dependencies.accounting().execute(() -> recordPresent(member));
     }
 
-    /** A member is dead or left. */
+    /** Handles a member that is dead or has left. */
     public void onMemberGone(MemberRecord member) {
-        parts.accounting().execute(() -> noteGone(nodeOf(member), incarnationOf(member)));
+        dependencies.accounting().execute(() -> recordGone(nodeOf(member), incarnationOf(member)));
     }
 
     /**
-     * Flushes until nothing is left, before a planned stop. Refusals and requests that come
-     * meanwhile are flushed too.
+     * Flushes everything, including refusals and requests that arrive meanwhile, before a graceful
+     * shutdown.
      *
-     * @param longestMilliseconds when to give up; what is left is then lost, but for what a peer
-     *     stored
+     * @param timeoutMilliseconds time limit; data that is not flushed by then is lost, unless a
+     *     peer stores it
      */
-    public CompletableFuture<Void> flush(long longestMilliseconds) {
-        CompletableFuture<Void> whenFlushed = new CompletableFuture<>();
-        parts.callers()
+    public CompletableFuture<Void> flush(long timeoutMilliseconds) {
+        CompletableFuture<Void> flush = new CompletableFuture<>();
+        dependencies
+                .callers()
                 .execute(
                         () -> {
                             overflow.transfer();
-                            parts.accounting().execute(() -> beginFlush(whenFlushed));
+                            dependencies.accounting().execute(() -> beginFlush(flush));
                         });
-        return whenFlushed
-                .orTimeout(Math.max(1, longestMilliseconds), TimeUnit.MILLISECONDS)
+        return flush.orTimeout(Math.max(1, timeoutMilliseconds), TimeUnit.MILLISECONDS)
                 .exceptionally(AccountingManager::logUnflushed);
     }
 
-    private void beginFlush(CompletableFuture<Void> whenFlushed) {
-        flushed = whenFlushed;
+    private void beginFlush(CompletableFuture<Void> flush) {
+        pendingFlush = flush;
         wake();
     }
 
@@ -192,33 +208,34 @@
         return null;
     }
 
-    private void take(RefusalIntake.Taken taken) {
-        CompletableFuture<RefusalDurability> durability = writer.record(taken.refusal(), now());
-        unanswered++;
-        CompletableFuture<Void> unused = durability.thenAccept(reached -> answer(taken, reached));
+    private void onRefusal(RefusalIntake.PendingRefusal pending) {
+        CompletableFuture<RefusalDurability> recorded = replicator.record(pending.refusal(), now());
+        unrecorded++;
+        CompletableFuture<Void> unused =
+                recorded.thenAccept(durability -> complete(pending, durability));
     }
 
-    private void answer(RefusalIntake.Taken taken, RefusalDurability reached) {
-        unanswered--;
-        logGap(reached);
-        taken.whenRecorded().run();
+    private void complete(RefusalIntake.PendingRefusal pending, RefusalDurability durability) {
+        unrecorded--;
+        logGap(durability);
+        pending.whenRecorded().run();
     }
 
-    private static void logGap(RefusalDurability reached) {
-        if (reached == RefusalDurability.GAP) {
+    private static void logGap(RefusalDurability durability) {
+        if (durability == RefusalDurability.GAP) {
             logger.atWarning().atMostEvery(1, TimeUnit.SECONDS).log(
                     "event=refusal-gap step=write-ahead peer=none reason=not-stored-in-time");
         }
     }
 
-    private void takeAnswered(RefusalCounters answered) {
-        writer.recordAlreadyAnswered(answered, now());
+    private void recordOverflow(RefusalCounters counts) {
+        replicator.recordAlreadyAnswered(counts, now());
     }
 
-    private void take(Received received) {
+    private void onReceived(Received received) {
         MeshFrame frame = received.frame();
         if (frame.hasRefusalBatch()) {
-            buddy.onBatch(frame.getRefusalBatch())
+            replica.onBatch(frame.getRefusalBatch())
                     .ifPresent(
                             stored ->
                                     received.link()
@@ -227,43 +244,43 @@
                                                             .setRefusalBatchStored(stored)
                                                             .build()));
         } else if (frame.hasRefusalBatchStored()) {
-            writer.onStored(received.link().peer(), frame.getRefusalBatchStored(), now());
+            replicator.onStored(received.link().peer(), frame.getRefusalBatchStored(), now());
         }
     }
 
-    private void notePresent(MemberRecord member) {
-        parts.peers().onMemberPresent(member);
+    private void recordPresent(MemberRecord member) {
+        dependencies.peers().onMemberPresent(member);
         NodeId node = nodeOf(member);
         Incarnation incarnation = incarnationOf(member);
-        Incarnation before = present.put(node, incarnation);
-        if (before != null && !before.equals(incarnation)) {
-            writer.onPeerLost(node, now());
-            buddy.onOwnerDown(node, before);
+        Incarnation previous = presentMembers.put(node, incarnation);
+        if (previous != null && !previous.equals(incarnation)) {
+            replicator.onPeerLost(node, now());
+            replica.onOwnerDown(node, previous);
         }
-        buddy.onOwnerUp(node, incarnation);
+        replica.onOwnerUp(node, incarnation);
     }
 
-    private void noteGone(NodeId node, Incarnation incarnation) {
-        buddy.onOwnerDown(node, incarnation);
-        if (present.remove(node, incarnation)) {
-            writer.onPeerLost(node, now());
+    private void recordGone(NodeId node, Incarnation incarnation) {
+        replica.onOwnerDown(node, incarnation);
+        if (presentMembers.remove(node, incarnation)) {
+            replicator.onPeerLost(node, now());
         }
     }
 
-    private boolean isOpen() {
-        return unanswered > 0 || flushed != null;
+    private boolean hasPendingWork() {
+        return unrecorded > 0 || pendingFlush != null;
     }
 
     private void wake() {
-        ticks.wake();
+        ticker.wake();
     }
 
     private void tick() {
         long now = now();
-        writer.tick(now);
+        replicator.tick(now);
         refusals.tick(now);
         requests.tick(now);
-        if (flushed != null) {
+        if (pendingFlush != null) {
             refusals.flush(now);
             requests.flush();
             completeWhenFlushed();
@@ -273,14 +290,14 @@
     }
 
     private void completeWhenFlushed() {
-        if (unanswered == 0 && refusals.isIdle() && requests.isIdle()) {
-            flushed.complete(null);
-            flushed = null;
+        if (unrecorded == 0 && refusals.isIdle() && requests.isIdle()) {
+            pendingFlush.complete(null);
+            pendingFlush = null;
         }
     }
 
     private long now() {
-        return parts.clock().getAsLong();
+        return dependencies.clock().getAsLong();
     }
 
     private static NodeId nodeOf(MemberRecord member) {
--- a/node/src/main/java/org/damaskmoor/node/internal/accounting/AccountingPeers.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/accounting/AccountingPeers.java
@@ -10,12 +10,12 @@
 import org.damaskmoor.schema.gossip.MemberRecord;
 
 /**
- * The nodes that can keep this node's refusals: those in other data centres of its region.
+ * Selects the nodes that can store this node's refusals: those in other data centres of its region.
  *
- * <p>Nodes of other regions, over the paid link, are asked only when the region has one data
- * centre. A region that was seen with several data centres since the start and now shows one has
- * lost sight of the others: its refusals are then gaps until one is back, and the paid link stays
- * free.
+ * <p>Nodes of other regions, which are reached over the paid link, are used only if the region has
+ * one data centre. If several data centres of the region were seen since the start and only one is
+ * visible now, the others are partitioned or down: refusals then count as gaps until another is
+ * visible again, so that an outage causes no traffic on the paid link.
  *
  * <p>Confined to the accounting event loop.
  */
@@ -23,7 +23,7 @@
     private final MemberDirectory members;
     private final DataCentreName dataCentre;
     private final RegionName region;
-    private boolean severalDataCentres;
+    private boolean hasSeenOtherDataCentre;
 
     public AccountingPeers(MemberDirectory members, DataCentreName dataCentre, RegionName region) {
         this.members = members;
@@ -31,9 +31,9 @@
         this.region = region;
     }
 
-    /** A member is present. */
+    /** Handles a member that is present. */
     void onMemberPresent(MemberRecord member) {
-        severalDataCentres |=
+        hasSeenOtherDataCentre |=
                 member.getRegion().equals(region.value())
                         && !member.getDataCentre().equals(dataCentre.value());
     }
@@ -41,7 +41,7 @@
     @Override
     public List<NodeId> get() {
         List<MeshPeer> peers = members.peersOutside(dataCentre, region);
-        if (peers.isEmpty() && !severalDataCentres) {
+        if (peers.isEmpty() && !hasSeenOtherDataCentre) {
             peers = members.peersOutside(region);
         }
         return peers.stream().map(MeshPeer::nodeId).toList();
--- a/node/src/main/java/org/damaskmoor/node/internal/accounting/AdaptiveTicker.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/accounting/AdaptiveTicker.java
@@ -4,23 +4,24 @@
 import org.damaskmoor.node.internal.time.Timers;
 
 /**
- * Runs a task again and again: every millisecond while something is open, else seldom.
+ * Runs a task periodically: every millisecond while work is pending, at a longer interval
+ * otherwise.
  *
- * <p>Confined to the event loop of its timers. Invariant: one run is scheduled at any time.
+ * <p>Confined to the event loop of its timers. Invariant: exactly one run is scheduled at any time.
  */
 final class AdaptiveTicker {
-    static final long OPEN_MILLISECONDS = 1;
-    static final long IDLE_MILLISECONDS = 25;
+    static final long BUSY_INTERVAL_MILLISECONDS = 1;
+    static final long IDLE_INTERVAL_MILLISECONDS = 25;
 
     private final Timers timers;
-    private final BooleanSupplier open;
+    private final BooleanSupplier busy;
     private final Runnable task;
     private Timers.Cancellation next = () -> {};
-    private boolean soon;
+    private boolean busyScheduled;
 
-    AdaptiveTicker(Timers timers, BooleanSupplier open, Runnable task) {
+    AdaptiveTicker(Timers timers, BooleanSupplier busy, Runnable task) {
         this.timers = timers;
-        this.open = open;
+        this.busy = busy;
         this.task = task;
     }
 
@@ -28,17 +29,20 @@
         schedule();
     }
 
-    /** Something may have been opened: the next run comes in a millisecond then. */
+    /** Switches to the short interval if work is pending now. */
     void wake() {
-        if (!soon && open.getAsBoolean()) {
+        if (!busyScheduled && busy.getAsBoolean()) {
             next.cancel();
             schedule();
         }
     }
 
     private void schedule() {
-        soon = open.getAsBoolean();
-        next = timers.schedule(soon ? OPEN_MILLISECONDS : IDLE_MILLISECONDS, this::run);
+        busyScheduled = busy.getAsBoolean();
+        next =
+                timers.schedule(
+                        busyScheduled ? BUSY_INTERVAL_MILLISECONDS : IDLE_INTERVAL_MILLISECONDS,
+                        this::run);
     }
 
     private void run() {
--- a/node/src/main/java/org/damaskmoor/node/internal/accounting/RefusalIntake.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/accounting/RefusalIntake.java
@@ -12,11 +12,11 @@
 import org.damaskmoor.node.internal.entry.RefusalRecorder;
 
 /**
- * Takes refusals on the caller event loop, gives each its id {@code node/incarnation/sequence}, and
- * lets it be answered once accounting has it.
+ * Receives refusals on the caller event loop, gives each the id {@code node/incarnation/sequence},
+ * and calls back once accounting has recorded it.
  *
- * <p>Confined to the caller event loop. Invariant: every refusal is answered once; one that finds
- * the ring full is answered at once and counted as a gap.
+ * <p>Confined to the caller event loop. Invariant: there is one callback per refusal; if the
+ * mailbox is full, the callback runs at once and the refusal is counted as a gap.
  */
 final class RefusalIntake implements RefusalRecorder {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -24,35 +24,35 @@
     /**
      * A refusal on its way to accounting.
      *
-     * @param refusal what is counted
-     * @param whenRecorded run on the accounting event loop when it may be answered
+     * @param refusal the refusal
+     * @param whenRecorded run on the accounting event loop once the refusal is recorded
      */
-    record Taken(Refusal refusal, Runnable whenRecorded) {}
+    record PendingRefusal(Refusal refusal, Runnable whenRecorded) {}
 
     private final String idPrefix;
     private final LongSupplier epochMilliseconds;
     private final Executor callers;
-    private final Predicate<Taken> ring;
+    private final Predicate<PendingRefusal> mailbox;
     private final RefusalOverflow overflow;
     private long lastSequence;
 
     /**
-     * An intake that has taken nothing.
+     * Creates an intake.
      *
-     * @param ring hands a refusal to the accounting event loop; false when it is full
-     * @param overflow counts refusals that the ring did not take
+     * @param mailbox passes a refusal to the accounting event loop; returns false if it is full
+     * @param overflow counts refusals that the mailbox did not accept
      */
     RefusalIntake(
             NodeId self,
             Incarnation incarnation,
             LongSupplier epochMilliseconds,
             Executor callers,
-            Predicate<Taken> ring,
+            Predicate<PendingRefusal> mailbox,
             RefusalOverflow overflow) {
         this.idPrefix = self.value() + "/" + incarnation.value() + "/";
         this.epochMilliseconds = epochMilliseconds;
         this.callers = callers;
-        this.ring = ring;
+        this.mailbox = mailbox;
         this.overflow = overflow;
     }
 
@@ -67,8 +67,8 @@
                         refusal.reason(),
                         TimeUnit.MILLISECONDS.toMinutes(epochMilliseconds.getAsLong()),
                         refusal.weight());
-        Runnable answer = () -> callers.execute(() -> whenRecorded.accept(id));
-        if (!ring.test(new Taken(counted, answer))) {
+        Runnable callback = () -> callers.execute(() -> whenRecorded.accept(id));
+        if (!mailbox.test(new PendingRefusal(counted, callback))) {
             logger.atWarning().atMostEvery(1, TimeUnit.SECONDS).log(
                     "event=refusal-gap step=enqueue peer=accounting reason=ring-full");
             overflow.add(counted);
--- a/node/src/main/java/org/damaskmoor/node/internal/accounting/RefusalOverflow.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/accounting/RefusalOverflow.java
@@ -6,11 +6,11 @@
 import org.damaskmoor.core.accounting.RefusalCounters;
 
 /**
- * Counts the refusals that found the accounting ring full, each as a gap, and hands the counts over
- * once the accounting event loop has caught up.
+ * Counts the refusals that found the accounting mailbox full, each as a gap, and transfers the
+ * counts once the accounting event loop has caught up.
  *
- * <p>Confined to the caller event loop. Invariants: each refusal is handed over once; memory is
- * bounded by folding callers; one hand-over is on its way at most.
+ * <p>Confined to the caller event loop. Invariants: each refusal is transferred once; the memory is
+ * bounded, because callers are folded together beyond a limit; at most one transfer is scheduled.
  */
 final class RefusalOverflow {
     private static final int MAXIMUM_KEYS = 4_096;
@@ -18,13 +18,13 @@
     private final Executor callers;
     private final Executor accounting;
     private final Consumer<RefusalCounters> receiver;
-    private RefusalCounters ledger = new RefusalCounters(MAXIMUM_KEYS);
-    private boolean announced;
+    private RefusalCounters counters = new RefusalCounters(MAXIMUM_KEYS);
+    private boolean transferScheduled;
 
     /**
-     * An empty overflow.
+     * Creates an empty overflow.
      *
-     * @param receiver takes the counts, on the accounting event loop
+     * @param receiver receives the counts, on the accounting event loop
      */
     RefusalOverflow(Executor callers, Executor accounting, Consumer<RefusalCounters> receiver) {
         this.callers = callers;
@@ -33,20 +33,20 @@
     }
 
     void add(Refusal refusal) {
-        ledger.add(refusal);
-        ledger.addGap(refusal.epochMinute(), 1);
-        if (!announced) {
-            announced = true;
+        counters.add(refusal);
+        counters.addGap(refusal.epochMinute(), 1);
+        if (!transferScheduled) {
+            transferScheduled = true;
             accounting.execute(() -> callers.execute(this::transfer));
         }
     }
 
-    /** Hands over what there is now. */
+    /** Transfers the current counts. */
     void transfer() {
-        announced = false;
-        RefusalCounters counted = ledger;
+        transferScheduled = false;
+        RefusalCounters counted = counters;
         if (!counted.isEmpty()) {
-            ledger = new RefusalCounters(MAXIMUM_KEYS);
+            counters = new RefusalCounters(MAXIMUM_KEYS);
             accounting.execute(() -> receiver.accept(counted));
         }
     }
--- a/node/src/main/java/org/damaskmoor/node/internal/accounting/ServiceLevelRecorder.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/accounting/ServiceLevelRecorder.java
@@ -17,12 +17,12 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * Turns the ends of requests into counts of the service level.
+ * Turns outcomes of requests into counts for the service level.
  *
- * <p>An answer is late when it took longer than the objective of its kind, or else of all kinds,
- * allows. Requests that are refused for what the caller sent (path not allowed, malformed, too
- * large, no such service) say nothing of the service and are not counted here; the refusals are
- * accounted for all the same.
+ * <p>An answer is late if it took longer than the objective for its kind allows, or the objective
+ * for all kinds if its kind has none. Requests that are refused because of what the caller sent
+ * (path not allowed, malformed, too large, no such service) say nothing about the service and don't
+ * count towards its service level; their refusals are recorded like all others.
  *
  * <p>Confined to the caller event loop.
  */
@@ -35,12 +35,12 @@
     private final Consumer<CompletedRequest> receiver;
 
     /**
-     * Counts by the objectives of the configuration in force.
+     * Creates a recorder that uses the objectives of the configuration in force.
      *
-     * @param services the configuration in force
+     * @param services provides the configuration in force
      * @param clock the monotonic clock, in nanoseconds
      * @param epochMilliseconds the wall clock
-     * @param receiver takes each ended request; must not block
+     * @param receiver receives each completed request; must not block
      */
     ServiceLevelRecorder(
             Supplier<ServiceMatcher> services,
@@ -53,7 +53,7 @@
         this.receiver = receiver;
     }
 
-    /** Counts by the clocks of this process. */
+    /** Creates a recorder that uses the clocks of this process. */
     public static ServiceLevelRecorder of(
             Supplier<ServiceMatcher> services, Consumer<CompletedRequest> receiver) {
         return new ServiceLevelRecorder(
@@ -66,7 +66,7 @@
             count(template, RequestOutcome.FAILED);
             return;
         }
-        boolean late = latencyMilliseconds(template) > allowedMilliseconds(template);
+        boolean late = latencyMilliseconds(template) > objectiveMilliseconds(template);
         count(template, late ? RequestOutcome.LATE : RequestOutcome.ANSWERED_IN_TIME);
     }
 
@@ -83,14 +83,14 @@
         count(template, RequestOutcome.UNKNOWN);
     }
 
-    private void count(CallTemplate template, RequestOutcome end) {
+    private void count(CallTemplate template, RequestOutcome outcome) {
         receiver.accept(
                 new CompletedRequest(
                         template.service(),
                         template.call().getKind(),
                         TimeUnit.MILLISECONDS.toMinutes(epochMilliseconds.getAsLong()),
                         Math.max(1, template.call().getWeight()),
-                        end,
+                        outcome,
                         latencyMilliseconds(template)));
     }
 
@@ -98,25 +98,25 @@
         return TimeUnit.NANOSECONDS.toMillis(clock.getAsLong() - template.arrivalNanoseconds());
     }
 
-    private long allowedMilliseconds(CallTemplate template) {
+    private long objectiveMilliseconds(CallTemplate template) {
         MatchedService service = services.get().findByName(template.service().value());
         if (service == null) {
             return Long.MAX_VALUE;
         }
         List<ServiceLevelObjective> objectives = service.configuration().getObjectivesList();
-        return allowedMilliseconds(
+        return objectiveMilliseconds(
                 objectives,
                 template.call().getKind(),
-                allowedMilliseconds(objectives, "", Long.MAX_VALUE));
+                objectiveMilliseconds(objectives, "", Long.MAX_VALUE));
     }
 
-    private static long allowedMilliseconds(
-            List<ServiceLevelObjective> objectives, String kind, long otherwise) {
+    private static long objectiveMilliseconds(
+            List<ServiceLevelObjective> objectives, String kind, long defaultMilliseconds) {
         for (ServiceLevelObjective objective : objectives) {
             if (objective.getKind().equals(kind) && objective.getLatencyMilliseconds() > 0) {
                 return objective.getLatencyMilliseconds();
             }
         }
-        return otherwise;
+        return defaultMilliseconds;
     }
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/claims/ClaimKey.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/claims/ClaimKey.java
@@ -7,10 +7,10 @@
 import org.damaskmoor.schema.mesh.Call;
 
 /**
- * The row key of a claim: {@code service.hash}, where the hash is the SHA-256 of service, caller
- * and idempotency key, each after its length.
+ * Computes the row key of a claim: {@code service.hash}, where the hash is the SHA-256 of service,
+ * caller and idempotency key, each prefixed with its length.
  *
- * <p>Whatever a caller sends, the key has a bounded length and needs no escaping. Stateless and
+ * <p>The key has a bounded length and needs no escaping, whatever a caller sends. Stateless and
  * thread-safe.
  */
 final class ClaimKey {
--- a/node/src/main/java/org/damaskmoor/node/internal/claims/TableClaimService.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/claims/TableClaimService.java
@@ -23,25 +23,25 @@
 import org.damaskmoor.schema.mesh.RequestId;
 
 /**
- * Claims idempotency keys by rows of the platform's table service that are inserted only when they
- * do not stand.
+ * Claims idempotency keys by inserting rows into the platform's table service, on the condition
+ * that the row does not exist.
  *
- * <p>A row that an earlier attempt of the same request left at another target is taken over by
- * rewriting it, because the entry node makes another attempt only after a truthful "not run". The
- * rewrite changes the row's tag, so that a late release by the former target can no longer delete
- * it; and an earlier attempt, however late it comes, never takes a later one's row.
+ * <p>If an earlier attempt of the same request left a row at another target, the claim overwrites
+ * it, because the entry node makes another attempt only after the earlier one has certainly not
+ * run. Overwriting changes the row's tag, so that a late release by the earlier target can't delete
+ * the row; and an earlier attempt, however late it arrives, never overwrites a later one's row.
  *
- * <p>Thread-safe. Invariants: of all requests with one key, one at most is granted until it is
+ * <p>Thread-safe. Invariants: of all requests with the same key at most one is granted until it is
  * released; a row is deleted only by the target that wrote it last, for the request that it wrote
- * it for. Results come on the upstream event loop.
+ * it for. Results are delivered on the upstream event loop.
  */
 public final class TableClaimService implements ClaimService {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final String TABLE = "claims";
-    private static final int WRITE_ATTEMPTS = 3;
-    private static final int CLAIM_ROUNDS = 3;
-    private static final int RELEASE_ATTEMPTS = 5;
-    private static final long RELEASE_PAUSE_MILLISECONDS = 1_000;
+    private static final int MAXIMUM_WRITE_ATTEMPTS = 3;
+    private static final int MAXIMUM_CLAIM_ROUNDS = 3;
+    private static final int MAXIMUM_RELEASE_ATTEMPTS = 5;
+    private static final long RELEASE_RETRY_MILLISECONDS = 1_000;
 
     private final NodeId self;
     private final Incarnation incarnation;
@@ -49,9 +49,9 @@
     private final ReadBackWrite writes;
     private final LongSupplier epochMilliseconds;
     private final Executor upstream;
-    private final Executor later;
+    private final Executor delayed;
 
-    /** Claims for one start of a node, with the wall clock and the usual pause. */
+    /** Creates a claim service with the wall clock and the default retry delay. */
     public static TableClaimService of(
             NodeId self, Incarnation incarnation, TableService tables, Executor upstream) {
         return new TableClaimService(
@@ -61,15 +61,15 @@
                 System::currentTimeMillis,
                 upstream,
                 CompletableFuture.delayedExecutor(
-                        RELEASE_PAUSE_MILLISECONDS, TimeUnit.MILLISECONDS));
+                        RELEASE_RETRY_MILLISECONDS, TimeUnit.MILLISECONDS));
     }
 
     /**
-     * Claims for one start of a node.
+     * Creates a claim service.
      *
      * @param epochMilliseconds the wall clock
      * @param upstream runs tasks on the upstream event loop; must not drop them
-     * @param later runs tasks after the pause between attempts to release
+     * @param delayed runs tasks after the delay between attempts to release
      */
     public TableClaimService(
             NodeId self,
@@ -77,69 +77,73 @@
             TableService tables,
             LongSupplier epochMilliseconds,
             Executor upstream,
-            Executor later) {
+            Executor delayed) {
         this.self = self;
         this.incarnation = incarnation;
         this.tables = tables;
-        this.writes = new ReadBackWrite(tables, WRITE_ATTEMPTS);
+        this.writes = new ReadBackWrite(tables, MAXIMUM_WRITE_ATTEMPTS);
         this.epochMilliseconds = epochMilliseconds;
         this.upstream = upstream;
-        this.later = later;
+        this.delayed = delayed;
     }
 
     @Override
-    public void claim(Call call, Consumer<Claim> whenDone) {
+    public void claim(Call call, Consumer<ClaimResult> whenDone) {
         String key = ClaimKey.of(call);
         CompletableFuture<Void> unused =
-                claim(key, record(call), CLAIM_ROUNDS)
+                claim(key, record(call), MAXIMUM_CLAIM_ROUNDS)
                         .exceptionally(failure -> unavailable(key, failure))
                         .thenAcceptAsync(whenDone, upstream);
     }
 
-    private CompletableFuture<Claim> claim(String key, ClaimRecord mine, int rounds) {
-        return write(key, WriteCondition.absent(), mine)
+    private CompletableFuture<ClaimResult> claim(String key, ClaimRecord own, int rounds) {
+        return write(key, WriteCondition.absent(), own)
                 .thenCompose(
                         result ->
                                 result instanceof WriteResult.Written
-                                        ? CompletableFuture.completedFuture(Claim.GRANTED)
-                                        : judgeStanding(key, mine, rounds));
+                                        ? CompletableFuture.completedFuture(ClaimResult.GRANTED)
+                                        : readExisting(key, own, rounds));
     }
 
-    private CompletableFuture<Claim> judgeStanding(String key, ClaimRecord mine, int rounds) {
+    private CompletableFuture<ClaimResult> readExisting(String key, ClaimRecord own, int rounds) {
         return tables.get(TABLE, key)
                 .thenCompose(
                         row ->
                                 row.isEmpty()
-                                        ? again(key, mine, rounds)
-                                        : judge(key, mine, row.get(), rounds));
+                                        ? retryClaim(key, own, rounds)
+                                        : resolveConflict(key, own, row.get(), rounds));
     }
 
-    private CompletableFuture<Claim> judge(String key, ClaimRecord mine, Row row, int rounds) {
-        ClaimRecord standing = parse(row);
-        if (standing.equals(mine)) {
-            return CompletableFuture.completedFuture(Claim.GRANTED);
+    private CompletableFuture<ClaimResult> resolveConflict(
+            String key, ClaimRecord own, Row row, int rounds) {
+        ClaimRecord existing = parse(row);
+        if (existing.equals(own)) {
+            return CompletableFuture.completedFuture(ClaimResult.GRANTED);
         }
-        if (!isSameRequest(standing, mine) || standing.getAttempt() >= mine.getAttempt()) {
-            return CompletableFuture.completedFuture(Claim.TAKEN);
+        if (!isSameRequest(existing, own) || existing.getAttempt() >= own.getAttempt()) {
+            return CompletableFuture.completedFuture(ClaimResult.TAKEN);
         }
-        return write(key, WriteCondition.matches(row.etag()), mine)
+        return write(key, WriteCondition.matches(row.etag()), own)
                 .thenCompose(
                         result ->
                                 result instanceof WriteResult.Written
-                                        ? CompletableFuture.completedFuture(Claim.GRANTED)
-                                        : again(key, mine, rounds));
+                                        ? CompletableFuture.completedFuture(ClaimResult.GRANTED)
+                                        : retryClaim(key, own, rounds));
     }
 
-    /** The row was released or rewritten between two looks at it. */
-    private CompletableFuture<Claim> again(String key, ClaimRecord mine, int rounds) {
+    /**
+     * The row was released or overwritten between read and write: claims again, a limited number of
+     * times.
+     */
+    private CompletableFuture<ClaimResult> retryClaim(String key, ClaimRecord own, int rounds) {
         return rounds > 1
-                ? claim(key, mine, rounds - 1)
-                : CompletableFuture.completedFuture(Claim.UNAVAILABLE);
+                ? claim(key, own, rounds - 1)
+                : CompletableFuture.completedFuture(ClaimResult.UNAVAILABLE);
     }
 
     private CompletableFuture<WriteResult> write(
-            String key, WriteCondition condition, ClaimRecord mine) {
-        ByteString value = mine.toByteString();
+            String key, WriteCondition condition, ClaimRecord own) {
+        ByteString value = own.toByteString();
         return writes.put(
                 TABLE,
                 key,
@@ -148,43 +152,43 @@
                 row -> row.value().equals(value) ? ReadBackResult.MINE : ReadBackResult.OTHER);
     }
 
-    private static Claim unavailable(String key, Throwable failure) {
+    private static ClaimResult unavailable(String key, Throwable failure) {
         logger.atWarning().log(
                 "event=claim-unavailable step=claim peer=table-service key=%s detail=%s",
                 key, failure.getMessage());
-        return Claim.UNAVAILABLE;
+        return ClaimResult.UNAVAILABLE;
     }
 
     @Override
     public void release(Call call) {
-        release(ClaimKey.of(call), record(call), RELEASE_ATTEMPTS);
+        release(ClaimKey.of(call), record(call), MAXIMUM_RELEASE_ATTEMPTS);
     }
 
-    private void release(String key, ClaimRecord mine, int attempts) {
+    private void release(String key, ClaimRecord own, int attempts) {
         CompletableFuture<Void> unused =
                 tables.get(TABLE, key)
-                        .thenCompose(row -> deleteIfMine(row, mine))
+                        .thenCompose(row -> deleteIfOwn(row, own))
                         .handle((done, failure) -> failure)
-                        .thenAccept(failure -> settleRelease(key, mine, attempts, failure));
+                        .thenAccept(failure -> onReleaseAttempt(key, own, attempts, failure));
     }
 
-    private CompletableFuture<Boolean> deleteIfMine(Optional<Row> row, ClaimRecord mine) {
-        boolean standsForMe =
+    private CompletableFuture<Boolean> deleteIfOwn(Optional<Row> row, ClaimRecord own) {
+        boolean isOwn =
                 row.map(TableClaimService::parse)
-                        .filter(standing -> isSameRequest(standing, mine))
-                        .filter(standing -> isSameTarget(standing, mine))
+                        .filter(existing -> isSameRequest(existing, own))
+                        .filter(existing -> isSameTarget(existing, own))
                         .isPresent();
-        return standsForMe
+        return isOwn
                 ? tables.delete(TABLE, row.get().key(), row.get().etag())
                 : CompletableFuture.completedFuture(false);
     }
 
-    private void settleRelease(String key, ClaimRecord mine, int attempts, Throwable failure) {
+    private void onReleaseAttempt(String key, ClaimRecord own, int attempts, Throwable failure) {
         if (failure == null) {
             return;
         }
         if (attempts > 1) {
-            later.execute(() -> release(key, mine, attempts - 1));
+            delayed.execute(() -> release(key, own, attempts - 1));
             return;
         }
         logger.atWarning().log(
@@ -205,16 +209,16 @@
                 .build();
     }
 
-    private static boolean isSameRequest(ClaimRecord standing, ClaimRecord mine) {
-        return standing.getEntryNode().equals(mine.getEntryNode())
-                && standing.getEntryIncarnation() == mine.getEntryIncarnation()
-                && standing.getSequence() == mine.getSequence();
+    private static boolean isSameRequest(ClaimRecord existing, ClaimRecord own) {
+        return existing.getEntryNode().equals(own.getEntryNode())
+                && existing.getEntryIncarnation() == own.getEntryIncarnation()
+                && existing.getSequence() == own.getSequence();
     }
 
-    private static boolean isSameTarget(ClaimRecord standing, ClaimRecord mine) {
-        return standing.getAttempt() == mine.getAttempt()
-                && standing.getTargetNode().equals(mine.getTargetNode())
-                && standing.getTargetIncarnation() == mine.getTargetIncarnation();
+    private static boolean isSameTarget(ClaimRecord existing, ClaimRecord own) {
+        return existing.getAttempt() == own.getAttempt()
+                && existing.getTargetNode().equals(own.getTargetNode())
+                && existing.getTargetIncarnation() == own.getTargetIncarnation();
     }
 
     private static ClaimRecord parse(Row row) {
@@ -222,7 +226,9 @@
             return ClaimRecord.parseFrom(row.value());
         } catch (InvalidProtocolBufferException unreadable) {
             throw new IllegalStateException(
-                    "row claims/" + row.key() + " is not a claim; look for another writer of it",
+                    "row claims/"
+                            + row.key()
+                            + " does not contain a claim; find out what else writes to this table",
                     unreadable);
         }
     }
--- a/node/src/main/java/org/damaskmoor/node/internal/configuration/ConfigurationManager.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/configuration/ConfigurationManager.java
@@ -31,10 +31,10 @@
 import org.damaskmoor.schema.mesh.MeshFrame;
 
 /**
- * Keeps the configuration of this node current and carries out operators' changes.
+ * Keeps the configuration of this node up to date and applies operators' changes.
  *
- * <p>Confined to the control event loop, but for {@link #matcher} and {@link #isReady}, which any
- * thread may call.
+ * <p>Confined to the control event loop, except {@link #matcher} and {@link #isReady}, which are
+ * thread-safe.
  */
 public final class ConfigurationManager {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -44,39 +44,39 @@
     private final MeshTransport mesh;
     private final ConfigurationStore store;
     private final ConfigurationPuller puller;
-    private final ConfigurationBootstrap start;
+    private final ConfigurationBootstrap bootstrap;
     private final ConfigurationChanger changer;
     private final PeerConfigurationTracker peers = new PeerConfigurationTracker();
-    private final Consumer<ConfigurationVersion> spread;
+    private final Consumer<ConfigurationVersion> broadcast;
     private final Consumer<ServiceMatcher> onChange;
     private volatile ServiceMatcher matcher = ServiceMatcher.of(List.of());
     private volatile boolean ready;
 
     /**
-     * Creates the duty.
+     * Creates a manager without configuration.
      *
      * @param control runs tasks on the control event loop
-     * @param members where other nodes are
-     * @param mesh asks them
+     * @param members provides the addresses of other nodes
+     * @param mesh transport to other nodes
      * @param table the platform's table of services
-     * @param spread tells all nodes that a version exists
-     * @param onChange told of each new state of the configuration, on the control event loop
+     * @param broadcast announces a new version to all nodes
+     * @param onChange called with each new state of the configuration, on the control event loop
      */
     public ConfigurationManager(
             Executor control,
             MemberDirectory members,
             MeshTransport mesh,
             ServiceTable table,
-            Consumer<ConfigurationVersion> spread,
+            Consumer<ConfigurationVersion> broadcast,
             Consumer<ServiceMatcher> onChange) {
         this.control = control;
         this.members = members;
         this.mesh = mesh;
-        this.spread = spread;
+        this.broadcast = broadcast;
         this.onChange = onChange;
         store = new ConfigurationStore(this::onAccepted);
-        puller = new ConfigurationPuller(store, this::request, table, control);
-        start = new ConfigurationBootstrap(store, this::request, table, control);
+        puller = new ConfigurationPuller(store, this::sendRequest, table, control);
+        bootstrap = new ConfigurationBootstrap(store, this::sendRequest, table, control);
         changer =
                 new ConfigurationChanger(
                         table,
@@ -84,80 +84,86 @@
                         accepted -> control.execute(() -> store.accept(accepted)));
     }
 
-    /** What rides on the membership protocol's datagrams. */
+    /**
+     * Creates the extension that carries configuration versions and crash records on the membership
+     * protocol's datagrams.
+     */
     public ConfigurationGossip createGossip(
-            BiConsumer<NodeId, List<ConfigurationVersion>> teller,
+            BiConsumer<NodeId, List<ConfigurationVersion>> sender,
             java.util.function.Predicate<QuarantineRecord> quarantine) {
-        return new ConfigurationGossip(store, puller, peers, teller, quarantine);
+        return new ConfigurationGossip(store, puller, peers, sender, quarantine);
     }
 
-    /** The services in force here. Any thread. */
+    /** The services in force at this node. Any thread. */
     public ServiceMatcher matcher() {
         return matcher;
     }
 
-    /** Whether this node holds the newest of what peers and table could give. Any thread. */
+    /**
+     * Whether this node has the newest configuration that its peers and the table could provide.
+     * Any thread.
+     */
     public boolean isReady() {
         return ready;
     }
 
-    /** All that is held here. */
+    /** All configurations at this node. */
     public List<VersionedConfiguration> all() {
         return store.all();
     }
 
-    /** What is held of a service, also when it was deleted. */
+    /** The configuration of a service, also if the service was deleted. */
     public Optional<VersionedConfiguration> find(ServiceName service) {
         return store.find(service);
     }
 
-    /** How other nodes' configurations stand to this one's. */
+    /** How the configurations of other nodes compare with this node's. */
     public PeerConfigurationTracker peers() {
         return peers;
     }
 
-    /** Carries out an operator's change. */
+    /** Applies an operator's change. */
     public CompletableFuture<ChangeOutcome> change(ChangeRequest request) {
         return changer.apply(request, store.all());
     }
 
-    /** Asks peers and table for everything. */
+    /** Requests all configurations from peers and the table. */
     public void requestAll(List<NodeId> nearestPeers, long nowMilliseconds) {
-        start.requestAll(nearestPeers, nowMilliseconds);
+        bootstrap.requestAll(nearestPeers, nowMilliseconds);
     }
 
-    /** Does what is due; call it every 100 milliseconds. */
-    public void tick(List<NodeId> nearestPeers, double turn, long nowMilliseconds) {
+    /** Sends requests that are due; call it every 100 milliseconds. */
+    public void tick(List<NodeId> nearestPeers, double random, long nowMilliseconds) {
         puller.tick(nowMilliseconds);
-        start.tick(nearestPeers, turn, nowMilliseconds);
-        if (!ready && start.isReady(nowMilliseconds)) {
+        bootstrap.tick(nearestPeers, random, nowMilliseconds);
+        if (!ready && bootstrap.isReady(nowMilliseconds)) {
             ready = true;
             logger.atInfo().log("event=configuration-ready services=%d", store.all().size());
         }
     }
 
-    /** Takes a question or an answer from a peer. */
+    /** Handles a request or an answer from a peer. */
     public void onFrame(MeshLink link, MeshFrame frame) {
         if (frame.hasConfigurationRequest()) {
-            answer(link, frame.getConfigurationRequest());
+            sendAnswer(link, frame.getConfigurationRequest());
         } else {
             puller.onAnswer(link.peer(), frame.getConfigurationAnswer());
-            start.onAnswer(link.peer());
+            bootstrap.onAnswer(link.peer());
         }
     }
 
-    /** A question could not be sent. */
+    /** Handles a request that could not be sent. */
     public void onUnsent(NodeId peer) {
         puller.onFailure(peer);
-        start.onFailure(peer);
+        bootstrap.onFailure(peer);
     }
 
-    /** A member is gone. */
+    /** Forgets a member that is gone. */
     public void forget(NodeId peer) {
         peers.forget(peer);
     }
 
-    private void answer(MeshLink link, ConfigurationRequest request) {
+    private void sendAnswer(MeshLink link, ConfigurationRequest request) {
         link.send(
                 MeshFrame.newBuilder()
                         .setConfigurationAnswer(
@@ -165,7 +171,7 @@
                         .build());
     }
 
-    private void request(NodeId peer, List<String> services) {
+    private void sendRequest(NodeId peer, List<String> services) {
         MeshFrame frame =
                 MeshFrame.newBuilder()
                         .setConfigurationRequest(
@@ -173,14 +179,14 @@
                         .build();
         members.peer(peer)
                 .ifPresentOrElse(
-                        (MeshPeer known) -> mesh.send(known, frame),
+                        (MeshPeer meshPeer) -> mesh.send(meshPeer, frame),
                         () -> control.execute(() -> onUnsent(peer)));
     }
 
     private void onAccepted(VersionedConfiguration accepted) {
         matcher = ServiceMatcher.of(store.all());
         peers.onOwnDigest(store.digest());
-        spread.accept(ConfigurationStore.versionOf(accepted));
+        broadcast.accept(ConfigurationStore.versionOf(accepted));
         onChange.accept(matcher);
         logger.atInfo().log(
                 "event=configuration-in-force service=%s version=%d changed_by=%s",
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/CallTemplate.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/CallTemplate.java
@@ -5,15 +5,15 @@
 import org.damaskmoor.schema.mesh.Call;
 
 /**
- * What is known of a request before a target is chosen: all fields of its call but the attempt's.
+ * The part of a call that is known before a target is chosen and is the same for all attempts.
  *
  * <p>Immutable and thread-safe.
  *
- * @param service the service it is for
- * @param caller who sent it
- * @param call the call without attempt, target incarnation and deadline
- * @param arrivalNanoseconds when the request was whole, on the monotonic clock
- * @param deadlineNanoseconds when the caller's patience ends, on the monotonic clock
+ * @param service the requested service
+ * @param caller the caller's name
+ * @param call the call without attempt number, target incarnation and remaining time
+ * @param arrivalNanoseconds when the request was read completely, on the monotonic clock
+ * @param deadlineNanoseconds when the request times out, on the monotonic clock
  */
 public record CallTemplate(
         ServiceName service,
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/ConfiguredMatcher.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/ConfiguredMatcher.java
@@ -9,7 +9,7 @@
 import org.damaskmoor.core.id.ServiceName;
 import org.damaskmoor.node.internal.http.CallerRequest;
 
-/** Matches requests with the configuration in force. Confined to the caller event loop. */
+/** Matches requests against the configuration in force. Confined to the caller event loop. */
 final class ConfiguredMatcher implements RequestMatcher {
     private final Supplier<ServiceMatcher> services;
 
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/DeadlineHeader.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/DeadlineHeader.java
@@ -3,15 +3,15 @@
 import java.util.OptionalLong;
 import org.damaskmoor.node.internal.http.CallerRequest;
 
-/** Reads what a caller says of its patience. Stateless and thread-safe. */
+/** Parses the deadline header of a request. Stateless and thread-safe. */
 final class DeadlineHeader {
-    private static final String FIELD = "Damaskmoor-Deadline-Ms";
+    private static final String HEADER = "Damaskmoor-Deadline-Ms";
 
     private DeadlineHeader() {}
 
-    /** Milliseconds that the caller still waits; empty when it names no valid number. */
+    /** The timeout that the caller asks for; empty if the header is absent or not a number. */
     static OptionalLong timeoutMilliseconds(CallerRequest request) {
-        String value = request.header(FIELD);
+        String value = request.header(HEADER);
         if (value.isEmpty()) {
             return OptionalLong.empty();
         }
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/EntryDispatcher.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/EntryDispatcher.java
@@ -21,20 +21,21 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * Takes callers' requests at an entry node and leads each to its reply.
+ * Matches callers' requests at an entry node, refuses those that may not be sent, and starts an
+ * exchange for each of the others.
  *
- * <p>Confined to the caller event loop; frames reach it through a mailbox. Invariant: a message of
- * another request, or of a request that ended, changes nothing.
+ * <p>Confined to the caller event loop; frames reach it through a mailbox. Invariant: a frame for
+ * another request, or for one that has ended, has no effect.
  */
 public final class EntryDispatcher implements CallerRequestHandler {
-    private static final ServiceName NO_SERVICE = new ServiceName("none");
+    private static final ServiceName UNMATCHED_SERVICE = new ServiceName("none");
 
     private final NodeId self;
     private final Incarnation incarnation;
     private final EntryLimits limits;
     private final RequestMatcher matcher;
     private final Function<MatchedRequest, ServiceRuntime> runtimes;
-    private final ExchangeContext environment;
+    private final ExchangeContext context;
     private final Map<Long, EntryExchange> exchanges = new ConcurrentHashMap<>();
     private final LongSupplier epochMilliseconds;
     private long lastSequence;
@@ -45,20 +46,20 @@
             EntryLimits limits,
             RequestMatcher matcher,
             Function<MatchedRequest, ServiceRuntime> runtimes,
-            EntryDependencies parts) {
+            EntryDependencies dependencies) {
         this.self = self;
         this.incarnation = incarnation;
         this.limits = limits;
         this.matcher = matcher;
         this.runtimes = runtimes;
-        this.epochMilliseconds = parts.epochMilliseconds();
-        this.environment =
+        this.epochMilliseconds = dependencies.epochMilliseconds();
+        this.context =
                 new ExchangeContext(
-                        parts.clock(),
-                        parts.timers(),
-                        parts.carrier(),
-                        parts.refusals(),
-                        parts.outcomes(),
+                        dependencies.clock(),
+                        dependencies.timers(),
+                        dependencies.frameSender(),
+                        dependencies.refusals(),
+                        dependencies.outcomes(),
                         finished -> exchanges.remove(finished.id().sequence()),
                         limits.acceptanceTimeoutMilliseconds());
     }
@@ -67,11 +68,11 @@
     public Runnable handle(CallerRequest request, Consumer<CallerReply> reply) {
         Optional<MatchedRequest> matched = matcher.match(request);
         if (matched.isEmpty()) {
-            refuse(unmatched(request), RefusalReason.UNKNOWN_SERVICE, reply);
+            refuse(unmatchedTemplate(request), RefusalReason.UNKNOWN_SERVICE, reply);
             return () -> {};
         }
         RequestId id = new RequestId(self, incarnation, ++lastSequence);
-        CallTemplate template = template(id, request, matched.get());
+        CallTemplate template = createTemplate(id, request, matched.get());
         if (!matched.get().allowed()) {
             refuse(template, RefusalReason.NOT_ALLOWED, reply);
             return () -> {};
@@ -87,62 +88,67 @@
     public void refuseUnparsed(String caller, RefusalReason reason, Consumer<CallerReply> reply) {
         refuse(
                 new CallTemplate(
-                        NO_SERVICE,
+                        UNMATCHED_SERVICE,
                         new CallerName(caller),
                         Call.getDefaultInstance(),
-                        environment.now(),
-                        environment.now()),
+                        context.now(),
+                        context.now()),
                 reason,
                 reply);
     }
 
-    /** Requests that wait for their reply. */
+    /** Number of requests that have no response yet. */
     public int openRequests() {
         return exchanges.size();
     }
 
-    /** Takes a frame from a target. */
+    /** Passes a frame from a target to the exchange that it belongs to. */
     public void onFrame(MeshFrame frame) {
         switch (frame.getBodyCase()) {
             case ACCEPTED ->
-                    find(frame.getAccepted().getRequestId())
+                    findExchange(frame.getAccepted().getRequestId())
                             .ifPresent(
                                     exchange ->
                                             exchange.onAccepted(frame.getAccepted().getAttempt()));
             case ANSWER ->
-                    find(frame.getAnswer().getRequestId())
+                    findExchange(frame.getAnswer().getRequestId())
                             .ifPresent(exchange -> exchange.onAnswer(frame.getAnswer()));
             case REFUSED ->
-                    find(frame.getRefused().getRequestId())
+                    findExchange(frame.getRefused().getRequestId())
                             .ifPresent(exchange -> exchange.onRefused(frame.getRefused()));
             case FAILED ->
-                    find(frame.getFailed().getRequestId())
+                    findExchange(frame.getFailed().getRequestId())
                             .ifPresent(exchange -> exchange.onFailed(frame.getFailed()));
             case SEALED ->
-                    find(frame.getSealed().getRequestId())
+                    findExchange(frame.getSealed().getRequestId())
                             .ifPresent(
                                     exchange ->
                                             exchange.onSealResult(
                                                     frame.getSealed().getAttempt(),
                                                     frame.getSealed().getState()));
-            default -> throw new IllegalArgumentException("unexpected " + frame.getBodyCase());
+            default ->
+                    throw new IllegalArgumentException(
+                            "not a frame for an entry node: " + frame.getBodyCase());
         }
     }
 
-    /** A frame was certainly not sent. */
+    /** Handles a frame that was certainly not sent. */
     public void onUnsent(MeshFrame frame, RefusalReason reason) {
         if (frame.hasCall()) {
-            find(frame.getCall().getRequestId())
+            findExchange(frame.getCall().getRequestId())
                     .ifPresent(
                             exchange ->
                                     exchange.onCallUnsent(frame.getCall().getAttempt(), reason));
         } else if (frame.hasSeal()) {
-            find(frame.getSeal().getRequestId())
+            findExchange(frame.getSeal().getRequestId())
                     .ifPresent(exchange -> exchange.onSealUnsent(frame.getSeal().getAttempt()));
         }
     }
 
-    /** A connection to a target is gone; what was sent before the given time is in doubt. */
+    /**
+     * Handles a lost connection to a target; frames sent before the given time may or may not have
+     * arrived.
+     */
     public void onConnectionLost(NodeId target, long sentBeforeNanoseconds) {
         for (EntryExchange exchange : List.copyOf(exchanges.values())) {
             exchange.onConnectionLost(target, sentBeforeNanoseconds);
@@ -154,16 +160,16 @@
             CallTemplate template,
             ServiceRuntime runtime,
             Consumer<CallerReply> reply) {
-        EntryExchange exchange = new EntryExchange(id, template, runtime, environment, reply);
+        EntryExchange exchange = new EntryExchange(id, template, runtime, context, reply);
         exchanges.put(id.sequence(), exchange);
         exchange.start();
         return exchange::onCallerGone;
     }
 
-    private CallTemplate template(RequestId id, CallerRequest request, MatchedRequest matched) {
-        long patience = timeoutMilliseconds(request, matched);
-        long elapsed =
-                TimeUnit.NANOSECONDS.toMillis(environment.now() - request.arrivalNanoseconds());
+    private CallTemplate createTemplate(
+            RequestId id, CallerRequest request, MatchedRequest matched) {
+        long timeout = timeoutMilliseconds(request, matched);
+        long elapsed = TimeUnit.NANOSECONDS.toMillis(context.now() - request.arrivalNanoseconds());
         Call call =
                 Call.newBuilder()
                         .setRequestId(EntryFrames.toMessage(id))
@@ -181,39 +187,40 @@
                         .setImportance(matched.importance())
                         .setConfigurationVersion(matched.configurationVersion())
                         .setDeadlineEpochMilliseconds(
-                                epochMilliseconds.getAsLong() + patience - elapsed)
+                                epochMilliseconds.getAsLong() + timeout - elapsed)
                         .build();
-        long deadline = request.arrivalNanoseconds() + TimeUnit.MILLISECONDS.toNanos(patience);
+        long deadline = request.arrivalNanoseconds() + TimeUnit.MILLISECONDS.toNanos(timeout);
         return new CallTemplate(
                 matched.service(), matched.caller(), call, request.arrivalNanoseconds(), deadline);
     }
 
     private long timeoutMilliseconds(CallerRequest request, MatchedRequest matched) {
-        long allowed =
+        long maximum =
                 matched.timeoutMilliseconds() > 0
                         ? matched.timeoutMilliseconds()
                         : limits.defaultTimeoutMilliseconds();
         return DeadlineHeader.timeoutMilliseconds(request).stream()
-                .map(asked -> Math.min(asked, allowed))
+                .map(requested -> Math.min(requested, maximum))
                 .findFirst()
-                .orElse(allowed);
+                .orElse(maximum);
     }
 
-    private CallTemplate unmatched(CallerRequest request) {
+    private CallTemplate unmatchedTemplate(CallerRequest request) {
         String name = request.header("Damaskmoor-Caller");
         CallerName caller = new CallerName(name.isEmpty() ? "unknown" : name);
         long arrival = request.arrivalNanoseconds();
-        return new CallTemplate(NO_SERVICE, caller, Call.getDefaultInstance(), arrival, arrival);
+        return new CallTemplate(
+                UNMATCHED_SERVICE, caller, Call.getDefaultInstance(), arrival, arrival);
     }
 
     private void refuse(CallTemplate template, RefusalReason reason, Consumer<CallerReply> reply) {
-        environment.refuse(template, reason, 0, reply);
+        context.refuse(template, reason, 0, reply);
     }
 
-    private Optional<EntryExchange> find(org.damaskmoor.schema.mesh.RequestId id) {
-        boolean ours =
+    private Optional<EntryExchange> findExchange(org.damaskmoor.schema.mesh.RequestId id) {
+        boolean own =
                 id.getEntryNode().equals(self.value())
                         && id.getEntryIncarnation() == incarnation.value();
-        return ours ? Optional.ofNullable(exchanges.get(id.getSequence())) : Optional.empty();
+        return own ? Optional.ofNullable(exchanges.get(id.getSequence())) : Optional.empty();
     }
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/EntryExchange.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/EntryExchange.java
@@ -30,23 +30,23 @@
 import org.damaskmoor.schema.mesh.SealState;
 
 /**
- * One request of a caller at its entry node, from its arrival to its reply.
+ * One caller request at its entry node, from its arrival to its response.
  *
  * <p>Performs the actions of its {@link EntryCall}: chooses targets, sends and seals calls, runs
- * the timers, and tells the router how each attempt ended.
+ * the timers, and reports the outcome of each attempt to the router.
  *
- * <p>Confined to the caller event loop. Invariant: the caller gets one reply, or none when it is
- * gone.
+ * <p>Confined to the caller event loop. Invariant: the caller gets exactly one response, or none if
+ * it has disconnected.
  */
 final class EntryExchange {
     private final RequestId id;
     private final CallTemplate template;
     private final EntryCall call;
     private final ServiceRuntime runtime;
-    private final ExchangeContext environment;
+    private final ExchangeContext context;
     private final Consumer<CallerReply> reply;
     private final Map<Integer, SentAttempt> attempts = new HashMap<>();
-    private final Set<NodeId> tried = new HashSet<>();
+    private final Set<NodeId> triedNodes = new HashSet<>();
     private final Timers.Cancellation deadlineTimer;
     private Timers.Cancellation hedgeTimer = () -> {};
     private CallAnswer answer;
@@ -57,23 +57,21 @@
             RequestId id,
             CallTemplate template,
             ServiceRuntime runtime,
-            ExchangeContext environment,
+            ExchangeContext context,
             Consumer<CallerReply> reply) {
         this.id = id;
         this.template = template;
         this.call = EntryCall.of(id, template.call().getNonIdempotent());
         this.runtime = runtime;
-        this.environment = environment;
+        this.context = context;
         this.reply = reply;
         this.retry = new RetryDecision(runtime.retryBudget(), template.call().getNonIdempotent());
         this.deadlineTimer =
-                environment
-                        .timers()
-                        .schedule(remainingMilliseconds(), () -> perform(call.deadline()));
+                context.timers().schedule(remainingMilliseconds(), () -> perform(call.deadline()));
     }
 
     void start() {
-        runtime.retryBudget().onRequest(environment.now());
+        runtime.retryBudget().onRequest(context.now());
         perform(call.begin());
         scheduleHedge();
     }
@@ -87,13 +85,13 @@
     }
 
     void onAccepted(int attempt) {
-        sent(attempt).ifPresent(SentAttempt::stopTimer);
+        findAttempt(attempt).ifPresent(SentAttempt::stopTimer);
         perform(call.accepted(attemptId(attempt)));
     }
 
     void onAnswer(CallAnswer received) {
         int attempt = received.getAttempt();
-        sent(attempt)
+        findAttempt(attempt)
                 .ifPresent(
                         ended ->
                                 ended.endAnswered(
@@ -104,30 +102,30 @@
 
     void onRefused(CallRefused received) {
         int attempt = received.getAttempt();
-        sent(attempt).ifPresent(ended -> ended.endRefused(runtime, received));
+        findAttempt(attempt).ifPresent(ended -> ended.endRefused(runtime, received));
         retry.onRefused(received.getReason(), received.getRefusedBelow());
         retryAfterMilliseconds = received.getRetryAfterMilliseconds();
         perform(call.refused(attemptId(attempt), received.getReason()));
     }
 
     void onFailed(CallFailed received) {
-        sent(received.getAttempt()).ifPresent(ended -> ended.endFailed(runtime));
+        findAttempt(received.getAttempt()).ifPresent(ended -> ended.endFailed(runtime));
         retry.onFailed();
         perform(call.failed(attemptId(received.getAttempt())));
     }
 
     void onSealResult(int attempt, SealState state) {
-        sent(attempt).ifPresent(SentAttempt::stopTimer);
+        findAttempt(attempt).ifPresent(SentAttempt::stopTimer);
         retry.onRefused(RefusalReason.SEALED_AFTER_SILENCE, false);
         perform(call.sealResult(attemptId(attempt), state));
     }
 
     void onCallUnsent(int attempt, RefusalReason reason) {
-        sent(attempt)
+        findAttempt(attempt)
                 .ifPresent(
                         ended -> {
                             ended.endFailed(runtime);
-                            runtime.router().onUnreachable(ended.targetId(), environment.now());
+                            runtime.router().onUnreachable(ended.targetId(), context.now());
                         });
         retry.onRefused(reason, false);
         perform(call.notSent(attemptId(attempt), reason));
@@ -137,7 +135,10 @@
         perform(call.sealTimeout(attemptId(attempt)));
     }
 
-    /** A connection to the target is gone; attempts sent before the given time are in doubt. */
+    /**
+     * Handles a lost connection to the target; attempts sent before the given time may or may not
+     * have arrived.
+     */
     void onConnectionLost(NodeId target, long sentBeforeNanoseconds) {
         for (SentAttempt attempt : List.copyOf(attempts.values())) {
             boolean affected =
@@ -160,7 +161,7 @@
             perform(action);
         }
         if (call.isFinished()) {
-            release();
+            cleanUp();
         }
     }
 
@@ -174,15 +175,15 @@
         } else if (action instanceof EntryAction.AnswerCaller) {
             answerCaller();
         } else if (action instanceof EntryAction.RefuseCaller refuse) {
-            environment.refuse(template, refuse.reason(), retryAfterMilliseconds, reply);
+            context.refuse(template, refuse.reason(), retryAfterMilliseconds, reply);
         } else if (action instanceof EntryAction.UnknownToCaller unknown) {
-            environment.recordUnknown(template, unknown.step(), unknown.peer());
+            context.recordUnknown(template, unknown.step(), unknown.peer());
             reply.accept(OutcomeReplies.unknown(unknown.step().wireName(), unknown.peer().value()));
         }
     }
 
     private void send(AttemptId attempt) {
-        long now = environment.now();
+        long now = context.now();
         if (attempt.attempt() > 1
                 && !retry.tryAcquireAttempt(attempt.attempt(), remaining(), now)) {
             perform(call.noTarget(attempt, retry.refusalReason()));
@@ -195,46 +196,47 @@
         }
         TargetId target = choice.get().target().id();
         if (call.sent(attempt, target)) {
-            write(attempt, choice.get());
+            sendTo(attempt, choice.get());
         }
     }
 
     private Optional<Choice> choose() {
-        long now = environment.now();
+        long now = context.now();
         String key = template.call().getIdempotencyKey();
-        boolean byKey = template.call().getNonIdempotent() && !key.isEmpty();
-        if (byKey) {
+        boolean routedByKey = template.call().getNonIdempotent() && !key.isEmpty();
+        if (routedByKey) {
             KeyScope scope =
                     template.call().getClaim() ? KeyScope.REGION_FIRST : KeyScope.ALL_REGIONS;
-            return runtime.router().chooseForKey(key, scope, tried, now);
+            return runtime.router().chooseForKey(key, scope, triedNodes, now);
         }
-        RoutingRequest view =
+        RoutingRequest routingRequest =
                 new RoutingRequest(
                         template.call().getNonIdempotent(), template.deadlineNanoseconds() - now);
-        return runtime.router().choose(view, tried, now);
+        return runtime.router().choose(routingRequest, triedNodes, now);
     }
 
-    private void write(AttemptId attempt, Choice choice) {
-        long now = environment.now();
-        SentAttempt sent = new SentAttempt(attempt.attempt(), choice, environment.clock());
+    private void sendTo(AttemptId attempt, Choice choice) {
+        long now = context.now();
+        SentAttempt sent = new SentAttempt(attempt.attempt(), choice, context.clock());
         attempts.put(attempt.attempt(), sent);
-        tried.add(choice.target().id().node());
+        triedNodes.add(choice.target().id().node());
         runtime.router().onSent(choice.target().id(), now);
         sent.startTimer(
-                environment.timers(),
-                environment.acceptanceTimeoutMilliseconds(),
+                context.timers(),
+                context.acceptanceTimeoutMilliseconds(),
                 () -> perform(call.acceptanceTimeout(attempt)));
-        environment.carrier().send(choice.target().id().node(), frame(attempt, choice));
+        context.frameSender().send(choice.target().id().node(), frame(attempt, choice));
     }
 
     private MeshFrame frame(AttemptId attempt, Choice choice) {
-        DeadlineBudget left = remaining().minus(choice.distance().roundTripNanoseconds());
+        DeadlineBudget remainingAtTarget =
+                remaining().minus(choice.distance().roundTripNanoseconds());
         return MeshFrame.newBuilder()
                 .setCall(
                         template.call().toBuilder()
                                 .setAttempt(attempt.attempt())
                                 .setTargetIncarnation(choice.target().id().incarnation().value())
-                                .setDeadlineMilliseconds(left.toMilliseconds()))
+                                .setDeadlineMilliseconds(remainingAtTarget.toMilliseconds()))
                 .build();
     }
 
@@ -242,48 +244,48 @@
         SentAttempt sent = attempts.get(attempt.attempt());
         MeshFrame frame =
                 EntryFrames.seal(attempt, target, template.call().getDeadlineEpochMilliseconds());
-        environment.carrier().sendOverLiveConnection(target.node(), frame, sent.sentNanoseconds());
+        context.frameSender().sendOverLiveConnection(target.node(), frame, sent.sentNanoseconds());
         sent.startTimer(
-                environment.timers(),
-                environment.acceptanceTimeoutMilliseconds(),
+                context.timers(),
+                context.acceptanceTimeoutMilliseconds(),
                 () -> perform(call.sealTimeout(attempt)));
     }
 
     private void cancel(AttemptId attempt, TargetId target) {
-        environment.carrier().send(target.node(), EntryFrames.cancel(attempt));
+        context.frameSender().send(target.node(), EntryFrames.cancel(attempt));
     }
 
     private void answerCaller() {
         reply.accept(
                 new CallerReply(answer.getStatus(), answer.getHeadersList(), answer.getBody()));
-        environment.recordAnswered(template, answer.getStatus());
+        context.recordAnswered(template, answer.getStatus());
     }
 
     private void scheduleHedge() {
         OptionalLong delay =
                 runtime.hedgePolicy()
-                        .delayNanoseconds(template.call().getNonIdempotent(), environment.now());
+                        .delayNanoseconds(template.call().getNonIdempotent(), context.now());
         if (delay.isPresent()) {
             long milliseconds = 1 + TimeUnit.NANOSECONDS.toMillis(delay.getAsLong());
-            hedgeTimer = environment.timers().schedule(milliseconds, this::hedge);
+            hedgeTimer = context.timers().schedule(milliseconds, this::hedge);
         }
     }
 
     private void hedge() {
-        if (!call.isFinished() && runtime.hedgePolicy().tryHedge(environment.now())) {
+        if (!call.isFinished() && runtime.hedgePolicy().tryHedge(context.now())) {
             retry.markNextPrepaid();
             perform(call.hedge());
         }
     }
 
-    private void release() {
+    private void cleanUp() {
         deadlineTimer.cancel();
         hedgeTimer.cancel();
         attempts.values().forEach(attempt -> attempt.abandon(runtime));
-        environment.finished(this);
+        context.finished(this);
     }
 
-    private Optional<SentAttempt> sent(int attempt) {
+    private Optional<SentAttempt> findAttempt(int attempt) {
         return Optional.ofNullable(attempts.get(attempt));
     }
 
@@ -296,6 +298,6 @@
     }
 
     private DeadlineBudget remaining() {
-        return DeadlineBudget.until(template.deadlineNanoseconds(), environment.now());
+        return DeadlineBudget.until(template.deadlineNanoseconds(), context.now());
     }
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/EntryFrames.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/EntryFrames.java
@@ -7,7 +7,7 @@
 import org.damaskmoor.schema.mesh.MeshFrame;
 import org.damaskmoor.schema.mesh.SealRequest;
 
-/** Makes the frames that an entry node sends about a call. Stateless and thread-safe. */
+/** Builds the frames that an entry node sends about a call. Stateless and thread-safe. */
 final class EntryFrames {
     private EntryFrames() {}
 
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/EntryLimits.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/EntryLimits.java
@@ -1,11 +1,11 @@
 package org.damaskmoor.node.internal.entry;
 
 /**
- * Bounds of an entry node. Immutable and thread-safe.
+ * Request limits of an entry node. Immutable and thread-safe.
  *
- * @param openRequests most requests that wait for their reply
- * @param defaultTimeoutMilliseconds deadline when neither caller nor rule names one
- * @param acceptanceTimeoutMilliseconds silence after which a call is sealed
+ * @param openRequests maximum number of requests without a response
+ * @param defaultTimeoutMilliseconds timeout if neither the caller nor the rule sets one
+ * @param acceptanceTimeoutMilliseconds time without an acceptance after which a call is sealed
  */
 public record EntryLimits(
         int openRequests, long defaultTimeoutMilliseconds, long acceptanceTimeoutMilliseconds) {}
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/EntryProxy.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/EntryProxy.java
@@ -19,14 +19,14 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * The entry part of a node: the thread that takes callers' requests and leads them to their
- * replies.
+ * The entry role of a node: accepts callers' requests on its own thread and proxies each to a
+ * target.
  *
- * <p>Thread-safe: everything is handed to the caller event loop.
+ * <p>Thread-safe: methods post their work to the caller event loop.
  */
 public final class EntryProxy {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final int RING_FRAMES = 16_384;
+    private static final int MAILBOX_CAPACITY_FRAMES = 16_384;
 
     private final EventLoopThread loop;
     private final ServiceRuntimes runtimes;
@@ -36,14 +36,14 @@
     private final BoundedMailbox<MeshFrame> mailbox;
 
     /**
-     * Creates the duty.
+     * Creates an entry proxy that does not listen yet.
      *
      * @param loop the caller event loop
-     * @param self this node
-     * @param incarnation this start of it
-     * @param settings bounds and the port
-     * @param runtimes the services
-     * @param parts what the dispatcher works with
+     * @param self this node's id
+     * @param incarnation this node's current incarnation
+     * @param settings limits and listen address
+     * @param runtimes routing state of the services
+     * @param dependencies dependencies of the dispatcher
      */
     public EntryProxy(
             EventLoopThread loop,
@@ -51,10 +51,10 @@
             Incarnation incarnation,
             EntrySettings settings,
             ServiceRuntimes runtimes,
-            EntryDependencies parts) {
+            EntryDependencies dependencies) {
         this.loop = loop;
         this.runtimes = runtimes;
-        this.explainer = new RequestExplainer(runtimes, parts.clock());
+        this.explainer = new RequestExplainer(runtimes, dependencies.clock());
         this.dispatcher =
                 new EntryDispatcher(
                         self,
@@ -62,7 +62,7 @@
                         settings.limits(),
                         new ConfiguredMatcher(runtimes::matcher),
                         matched -> runtimes.getOrCreate(matched.service()),
-                        parts);
+                        dependencies);
         this.server =
                 new CallerServer(
                         loop.eventLoop(),
@@ -70,18 +70,19 @@
                         settings.callerLimits(),
                         settings.stopTimeout(),
                         dispatcher,
-                        parts.clock());
+                        dependencies.clock());
         this.mailbox =
-                new BoundedMailbox<>(RING_FRAMES, loop::execute, dispatcher::onFrame, () -> {});
+                new BoundedMailbox<>(
+                        MAILBOX_CAPACITY_FRAMES, loop::execute, dispatcher::onFrame, () -> {});
     }
 
     /**
-     * What an entry part is set to. Immutable and thread-safe.
+     * Settings of an entry proxy. Immutable and thread-safe.
      *
-     * @param limits its bounds
-     * @param address where callers connect to
-     * @param callerLimits bounds of the port for callers
-     * @param stopTimeout longest time that a planned stop waits for open requests
+     * @param limits request limits
+     * @param address listen address for callers
+     * @param callerLimits limits of the caller port
+     * @param stopTimeout longest time that a graceful shutdown waits for open requests
      */
     public record EntrySettings(
             EntryLimits limits,
@@ -89,27 +90,27 @@
             CallerLimits callerLimits,
             Duration stopTimeout) {}
 
-    /** Opens the port for callers. */
+    /** Opens the caller port. */
     public CompletableFuture<Void> start() {
         return server.start();
     }
 
-    /** Serves on, but tells callers with each reply to connect elsewhere. Any thread. */
+    /** Keeps serving, but asks callers in every response to close their connection. Any thread. */
     public void startConnectionDraining() {
         server.startConnectionDraining();
     }
 
-    /** Takes no new connections and finishes the open requests. */
+    /** Stops accepting connections and finishes the open requests. */
     public CompletableFuture<Void> stop() {
         return server.stop();
     }
 
-    /** Requests that wait for their reply. Any thread. */
+    /** Number of requests that have no response yet. Any thread. */
     public int openRequests() {
         return dispatcher.openRequests();
     }
 
-    /** Takes a frame about a call that this node sent; false when the ring is full. */
+    /** Queues a frame about a call that this node sent; returns false if the mailbox is full. */
     public boolean offer(MeshFrame frame) {
         boolean offered = mailbox.offer(frame);
         if (!offered) {
@@ -119,7 +120,7 @@
         return offered;
     }
 
-    /** Takes what a peer said of its load in answer to a probe. */
+    /** Records the load that a target reported in reply to a probe. */
     public void onLoadReport(MeshLink link, MeshFrame frame, LongSupplier clock) {
         loop.execute(
                 () ->
@@ -129,27 +130,30 @@
                                 clock.getAsLong()));
     }
 
-    /** A frame was certainly not sent. */
+    /** Handles a frame that was certainly not sent. */
     public void onUnsent(MeshFrame frame, RefusalReason reason) {
         loop.execute(() -> dispatcher.onUnsent(frame, reason));
     }
 
-    /** A connection to a peer is gone; what was sent before the given time is in doubt. */
+    /**
+     * Handles a lost connection to a peer; frames sent before the given time may or may not have
+     * arrived.
+     */
     public void onLinkLost(NodeId peer, long lastUsedNanoseconds) {
         loop.execute(() -> dispatcher.onConnectionLost(peer, lastUsedNanoseconds));
     }
 
-    /** The members have changed. */
+    /** Updates the routers after a membership change. */
     public void onMembersChanged() {
         loop.execute(runtimes::onMembersChanged);
     }
 
-    /** The configuration has changed. */
+    /** Applies a changed configuration. */
     public void onConfigurationChanged(ServiceMatcher changed) {
         loop.execute(() -> runtimes.onConfigurationChanged(changed));
     }
 
-    /** Where a request would go now; empty when no such service is in force. */
+    /** Explains where a request would be routed now; empty if no such service is in force. */
     public CompletableFuture<Optional<RequestExplanation>> explain(RequestDescription request) {
         return CompletableFuture.supplyAsync(() -> explainer.explain(request), loop::execute);
     }
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/ExchangeContext.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/ExchangeContext.java
@@ -10,20 +10,21 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * What all exchanges of an entry node share. Confined to the caller event loop.
+ * Dependencies and settings shared by all exchanges of an entry node. Confined to the caller event
+ * loop.
  *
  * @param clock the monotonic clock, in nanoseconds
  * @param timers timers of the caller event loop
- * @param carrier sends frames to targets
- * @param refusals accounts for refusals
- * @param outcomes counts how requests ended
- * @param onFinished told when an exchange needs nothing more
- * @param acceptanceTimeoutMilliseconds silence after which a call is sealed
+ * @param frameSender sends frames to targets
+ * @param refusals records refusals
+ * @param outcomes notified of the outcome of each request
+ * @param onFinished called with each exchange that has finished
+ * @param acceptanceTimeoutMilliseconds time without an acceptance after which a call is sealed
  */
 record ExchangeContext(
         LongSupplier clock,
         Timers timers,
-        TargetFrameSender carrier,
+        TargetFrameSender frameSender,
         RefusalRecorder refusals,
         OutcomeListener outcomes,
         Consumer<EntryExchange> onFinished,
@@ -34,7 +35,7 @@
         return clock.getAsLong();
     }
 
-    /** Accounts for a refusal, then tells the caller "not run". */
+    /** Records the refusal, then replies "not run" to the caller. */
     void refuse(
             CallTemplate template,
             RefusalReason reason,
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/MeshFrameSender.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/MeshFrameSender.java
@@ -10,7 +10,7 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * Carries frames to targets over the mesh, or straight to this node's own target part.
+ * Sends frames to targets over the mesh, or directly to the target proxy of this node.
  *
  * <p>Thread-safe.
  */
@@ -22,13 +22,13 @@
     private final BiConsumer<MeshFrame, RefusalReason> onUnsent;
 
     /**
-     * Creates a carrier.
+     * Creates a sender.
      *
-     * @param self this node
-     * @param members where other nodes are
-     * @param mesh carries frames to them
-     * @param ownTarget takes frames for this node; false when its ring is full
-     * @param onUnsent told of a frame that was certainly not sent
+     * @param self this node's id
+     * @param members provides the addresses of other nodes
+     * @param mesh transport to other nodes
+     * @param ownTarget accepts frames for this node; returns false if its mailbox is full
+     * @param onUnsent called with each frame that was certainly not sent
      */
     public MeshFrameSender(
             NodeId self,
@@ -49,7 +49,8 @@
             sendToSelf(frame);
             return;
         }
-        members.peer(target).ifPresentOrElse(peer -> mesh.send(peer, frame), () -> gone(frame));
+        members.peer(target)
+                .ifPresentOrElse(peer -> mesh.send(peer, frame), () -> returnUnreachable(frame));
     }
 
     @Override
@@ -61,7 +62,7 @@
         members.peer(target)
                 .ifPresentOrElse(
                         peer -> sendOverLiveConnection(peer, frame, aliveAfterNanoseconds),
-                        () -> gone(frame));
+                        () -> returnUnreachable(frame));
     }
 
     private void sendOverLiveConnection(
@@ -75,7 +76,7 @@
         }
     }
 
-    private void gone(MeshFrame frame) {
+    private void returnUnreachable(MeshFrame frame) {
         onUnsent.accept(frame, RefusalReason.TARGET_UNREACHABLE);
     }
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/OutcomeListener.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/OutcomeListener.java
@@ -4,18 +4,21 @@
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.schema.mesh.RefusalReason;
 
-/** Told how each request ended, for metrics, logs and service levels. Caller event loop only. */
+/**
+ * Notified of the outcome of each request, for metrics, logs and service levels. Called on the
+ * caller event loop.
+ */
 public interface OutcomeListener {
-    /** The upstream's answer went to the caller. */
+    /** The upstream's answer was sent to the caller. */
     void onAnswered(CallTemplate template, int status);
 
-    /** The caller was told "not run". */
+    /** The caller received the outcome "not run". */
     void onRefused(CallTemplate template, RefusalReason reason);
 
-    /** The caller was told "unknown". */
+    /** The caller received the outcome "unknown". */
     void onUnknown(CallTemplate template, UnknownOutcomeStep step, NodeId peer);
 
-    /** A listener that tells this one first, then the other. */
+    /** Returns a listener that notifies this listener first, then the other. */
     default OutcomeListener andThen(OutcomeListener other) {
         OutcomeListener first = this;
         return new OutcomeListener() {
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/Refusal.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/Refusal.java
@@ -5,11 +5,11 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * One request that is refused before it ran. Immutable and thread-safe.
+ * A request that is refused before it ran. Immutable and thread-safe.
  *
- * @param service the service it was for
- * @param caller who sent it
- * @param reason why it is refused
- * @param weight what it counts for
+ * @param service the requested service
+ * @param caller the caller's name
+ * @param reason the reason for the refusal
+ * @param weight the weight with which the request is counted
  */
 public record Refusal(ServiceName service, CallerName caller, RefusalReason reason, int weight) {}
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/RefusalDetails.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/RefusalDetails.java
@@ -3,7 +3,10 @@
 import org.damaskmoor.core.id.ServiceName;
 import org.damaskmoor.schema.mesh.RefusalReason;
 
-/** One sentence for a person on each reason: what happened and what to do. Stateless. */
+/**
+ * Describes each refusal reason to the caller in a sentence or two: what happened and what to do.
+ * Stateless.
+ */
 final class RefusalDetails {
     private RefusalDetails() {}
 
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/RefusalRecorder.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/RefusalRecorder.java
@@ -3,17 +3,18 @@
 import java.util.function.Consumer;
 
 /**
- * Accounts for refusals before they are told to callers.
+ * Records refusals before callers get their responses.
  *
- * <p>Called on the caller event loop, which the callback runs on too.
+ * <p>Called on the caller event loop, which also runs the callback.
  */
 @FunctionalInterface
 public interface RefusalRecorder {
     /**
      * Records a refusal.
      *
-     * @param refusal what is refused
-     * @param whenRecorded gets the refusal's id when it is safe, or its gap is recorded
+     * @param refusal the refusal
+     * @param whenRecorded receives the refusal's id once a peer has stored the refusal or it is
+     *     counted as a gap
      */
     void record(Refusal refusal, Consumer<String> whenRecorded);
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/RequestDescription.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/RequestDescription.java
@@ -3,11 +3,11 @@
 import org.damaskmoor.core.id.ServiceName;
 
 /**
- * A request that an operator asks about. Immutable and thread-safe.
+ * A hypothetical request whose routing an operator wants explained. Immutable and thread-safe.
  *
- * @param service the service that it is for
- * @param caller who would send it
- * @param method its method
- * @param path its path
+ * @param service the requested service
+ * @param caller the name of the caller
+ * @param method the HTTP method
+ * @param path the path
  */
 public record RequestDescription(ServiceName service, String caller, String method, String path) {}
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/RequestExplainer.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/RequestExplainer.java
@@ -7,7 +7,7 @@
 import org.damaskmoor.core.id.ServiceName;
 import org.damaskmoor.core.routing.Router;
 
-/** Explains to operators where requests would go. Confined to the caller event loop. */
+/** Explains to operators where requests would be routed. Confined to the caller event loop. */
 final class RequestExplainer {
     private final ServiceRuntimes runtimes;
     private final LongSupplier clock;
@@ -17,7 +17,7 @@
         this.clock = clock;
     }
 
-    /** What would become of the request; empty when no such service is in force. */
+    /** Explains where the request would be routed; empty if no such service is in force. */
     Optional<RequestExplanation> explain(RequestDescription request) {
         MatchedService service = runtimes.matcher().findByName(request.service().value());
         if (service == null) {
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/RequestExplanation.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/RequestExplanation.java
@@ -5,12 +5,13 @@
 import org.damaskmoor.core.routing.CandidateEstimate;
 
 /**
- * Where a request would go now, and why. Immutable and thread-safe.
+ * Where a request would be routed now, and why. Immutable and thread-safe.
  *
- * @param rule the rule that decides
- * @param allowed whether the rule lets the caller in
- * @param candidates each upstream of the service as the router weighs it
- * @param regionHeadroomGone whether other regions are asked because the own one is full
+ * @param rule the rule that applies
+ * @param allowed whether the rule allows the caller
+ * @param candidates the service's upstreams with the weights that the router gives them
+ * @param regionHeadroomGone whether requests go to other regions because the own region has no
+ *     spare capacity
  */
 public record RequestExplanation(
         MatchedRule rule,
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/RetryDecision.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/RetryDecision.java
@@ -6,10 +6,10 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * Whether one request may have one more attempt, by how the last one ended.
+ * Decides whether one request may have a further attempt, given how its last attempt ended.
  *
- * <p>Confined to the caller event loop. Invariant: an attempt is paid from the service's retry
- * budget once, unless the rules say that it is free.
+ * <p>Confined to the caller event loop. Invariant: each further attempt is charged to the service's
+ * retry budget once, unless the retry rules make it free.
  */
 final class RetryDecision {
     private final RetryBudget budget;
@@ -24,47 +24,50 @@
         this.nonIdempotent = nonIdempotent;
     }
 
-    /** An attempt ended as "not run". */
-    void onRefused(RefusalReason refusalReason, boolean below) {
+    /** Records that an attempt ended as "not run". */
+    void onRefused(RefusalReason refusalReason, boolean refusedByLowerNode) {
         refused = true;
         reason = refusalReason;
-        refusedBelow |= below;
+        refusedBelow |= refusedByLowerNode;
     }
 
-    /** An attempt ended without an answer. */
+    /** Records that an attempt ended without an answer. */
     void onFailed() {
         refused = false;
     }
 
-    /** The next attempt is a hedge, which was paid for already. */
+    /** Marks the next attempt as a hedge, which is already charged to the budget. */
     void markNextPrepaid() {
         prepaid = true;
     }
 
-    /** Whether the attempt of this number may be sent; takes it out of the budget. */
+    /**
+     * Returns whether the attempt of this number may be sent, and charges it to the budget if so.
+     */
     boolean tryAcquireAttempt(int attempt, DeadlineBudget remaining, long nowNanoseconds) {
         if (prepaid) {
             prepaid = false;
             return true;
         }
-        int ended = attempt - 1;
+        int endedAttempts = attempt - 1;
         boolean allowed =
                 refused
-                        ? RetryRules.canRetryAfterRefusal(reason, refusedBelow, ended, remaining)
-                        : RetryRules.canRetryAfterFailure(nonIdempotent, ended, remaining);
+                        ? RetryRules.canRetryAfterRefusal(
+                                reason, refusedBelow, endedAttempts, remaining)
+                        : RetryRules.canRetryAfterFailure(nonIdempotent, endedAttempts, remaining);
         if (!allowed) {
             return false;
         }
-        boolean paid =
+        boolean charged =
                 (refused && RetryRules.isExemptFromBudget(reason))
                         || budget.tryAcquire(nowNanoseconds);
-        if (!paid) {
+        if (!charged) {
             reason = RefusalReason.RETRY_BUDGET_EMPTY;
         }
-        return paid;
+        return charged;
     }
 
-    /** The reason to give to the caller when nothing ran. */
+    /** The reason to give to the caller if no attempt ran. */
     RefusalReason refusalReason() {
         return reason;
     }
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/SentAttempt.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/SentAttempt.java
@@ -8,9 +8,10 @@
 import org.damaskmoor.schema.mesh.LoadReport;
 
 /**
- * One attempt that was sent: its target, its timer, and what the router was told of it.
+ * One attempt that was sent: its target, its timer, and whether its outcome was reported to the
+ * router.
  *
- * <p>Confined to the caller event loop. Invariant: the router is told of one end of the attempt.
+ * <p>Confined to the caller event loop. Invariant: the router gets one outcome per attempt.
  */
 final class SentAttempt {
     private static final int FIRST_SERVER_ERROR = 500;
@@ -55,8 +56,8 @@
     }
 
     void endAnswered(ServiceRuntime runtime, LoadReport load, int status) {
-        if (end()) {
-            noteLatency(runtime);
+        if (markEnded()) {
+            recordLatency(runtime);
             if (status >= FIRST_SERVER_ERROR) {
                 runtime.router().onLoadReport(targetId(), load, clock.getAsLong());
                 runtime.router().onFailed(targetId(), elapsed(), clock.getAsLong());
@@ -67,7 +68,7 @@
     }
 
     void endRefused(ServiceRuntime runtime, CallRefused refused) {
-        if (end()) {
+        if (markEnded()) {
             runtime.router()
                     .onRefused(
                             targetId(),
@@ -79,28 +80,28 @@
     }
 
     void endFailed(ServiceRuntime runtime) {
-        if (end()) {
+        if (markEnded()) {
             runtime.router().onFailed(targetId(), elapsed(), clock.getAsLong());
         }
     }
 
     void abandon(ServiceRuntime runtime) {
-        if (end()) {
+        if (markEnded()) {
             runtime.router().onAbandoned(targetId(), elapsed(), clock.getAsLong());
         }
     }
 
-    private void noteLatency(ServiceRuntime runtime) {
+    private void recordLatency(ServiceRuntime runtime) {
         if (number == 1) {
             runtime.hedgePolicy().onAnswered(elapsed(), clock.getAsLong());
         }
     }
 
-    private boolean end() {
+    private boolean markEnded() {
         stopTimer();
-        boolean first = !ended;
+        boolean firstEnd = !ended;
         ended = true;
-        return first;
+        return firstEnd;
     }
 
     private long elapsed() {
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/ServiceRuntime.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/ServiceRuntime.java
@@ -5,10 +5,11 @@
 import org.damaskmoor.core.routing.Router;
 
 /**
- * What an entry node keeps for one service between requests. Confined to the caller event loop.
+ * State that an entry node keeps for one service across requests. Confined to the caller event
+ * loop.
  *
  * @param router chooses targets
- * @param retryBudget bounds further attempts
- * @param hedgePolicy decides when to send a second attempt
+ * @param retryBudget limits further attempts
+ * @param hedgePolicy decides when to send a hedge
  */
 record ServiceRuntime(Router router, RetryBudget retryBudget, HedgePolicy hedgePolicy) {}
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/ServiceRuntimes.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/ServiceRuntimes.java
@@ -23,7 +23,7 @@
 import org.damaskmoor.schema.mesh.LoadReport;
 
 /**
- * The runtimes of the services that callers of this node use, made when first needed.
+ * Holds the routing state of each service that callers of this node use, created on first use.
  *
  * <p>Confined to the caller event loop.
  */
@@ -38,13 +38,14 @@
     private ServiceMatcher matcher;
 
     /**
-     * What holds for services that set nothing. Immutable and thread-safe.
+     * Routing defaults for services that don't set their own. Immutable and thread-safe.
      *
-     * @param options how to route
-     * @param retryBudgetPercent further attempts as a share of requests
-     * @param policy how to choose among candidates, from the number that is sampled
+     * @param options routing options
+     * @param retryBudgetPercent further attempts as a percentage of requests
+     * @param policy creates the policy that chooses among candidates, given the number of sampled
+     *     candidates
      * @param furtherAttempts whether requests are retried and hedged
-     * @param observer put around each router
+     * @param observer wraps the router of each service
      */
     public record RoutingDefaults(
             RoutingOptions options,
@@ -70,24 +71,27 @@
         this.matcher = matcher;
     }
 
-    /** The runtime of a service. */
+    /** Returns the runtime of a service, created on first use. */
     ServiceRuntime getOrCreate(ServiceName service) {
         return runtimes.computeIfAbsent(service, this::create);
     }
 
-    /** The services in force. */
+    /** Returns the matcher for the services in force. */
     public ServiceMatcher matcher() {
         return matcher;
     }
 
-    /** The configuration has changed: runtimes start anew where their policies did. */
+    /**
+     * Applies a changed configuration: discards the runtimes of services whose routing or retry
+     * policy changed.
+     */
     public void onConfigurationChanged(ServiceMatcher changed) {
-        ServiceMatcher former = matcher;
+        ServiceMatcher previous = matcher;
         matcher = changed;
-        runtimes.keySet().removeIf(service -> policiesDiffer(former, changed, service));
+        runtimes.keySet().removeIf(service -> policiesDiffer(previous, changed, service));
     }
 
-    /** The members have changed. */
+    /** Passes the current members to the routers. */
     public void onMembersChanged() {
         long now = clock.getAsLong();
         runtimes.forEach(
@@ -95,7 +99,7 @@
                         runtime.router().updateTargets(members.targets(service), now));
     }
 
-    /** A target told of its load in answer to a probe. */
+    /** Passes the load that a target reported in reply to a probe to the router of its service. */
     public void onLoadReport(TargetId target, LoadReport load, long nowNanoseconds) {
         members.member(target.node())
                 .filter(member -> !member.getService().isEmpty())
@@ -104,8 +108,8 @@
     }
 
     private static boolean policiesDiffer(
-            ServiceMatcher former, ServiceMatcher changed, ServiceName service) {
-        ServiceConfiguration before = configuration(former, service);
+            ServiceMatcher previous, ServiceMatcher changed, ServiceName service) {
+        ServiceConfiguration before = configuration(previous, service);
         ServiceConfiguration after = configuration(changed, service);
         return !before.getRouting().equals(after.getRouting())
                 || !before.getRetry().equals(after.getRetry());
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/TargetFrameSender.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/TargetFrameSender.java
@@ -4,18 +4,18 @@
 import org.damaskmoor.schema.mesh.MeshFrame;
 
 /**
- * Carries frames from an entry node to a target, which may be the same node.
+ * Sends frames from an entry node to a target, which may be on the same node.
  *
- * <p>Thread-safe. A frame that was certainly not sent comes back through {@link
+ * <p>Thread-safe. A frame that was certainly not sent is returned through {@link
  * EntryDispatcher#onUnsent}.
  */
 public interface TargetFrameSender {
-    /** Sends a frame over the connection in use. */
+    /** Sends a frame over the current connection. */
     void send(NodeId target, MeshFrame frame);
 
     /**
-     * Sends a frame over a connection that was opened or heard from after the given time, so that
-     * it doesn't depend on one that may have gone silent.
+     * Sends a frame over a connection that was opened or received data after the given time, so
+     * that delivery doesn't depend on a connection that may have gone silent.
      *
      * @param aliveAfterNanoseconds a time on the monotonic clock
      */
--- a/node/src/main/java/org/damaskmoor/node/internal/eventloop/EventLoopThread.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/eventloop/EventLoopThread.java
@@ -7,19 +7,19 @@
 import org.damaskmoor.node.internal.time.Timers;
 
 /**
- * An event loop with the one thread of a duty.
+ * An event loop with a dedicated thread.
  *
- * <p>Thread-safe; tasks run on the duty's thread. Invariant: a task that fails is logged and does
- * not end the loop.
+ * <p>Thread-safe; tasks run on the thread of the loop. Invariant: an exception of a task is logged
+ * and does not end the loop.
  */
 public final class EventLoopThread {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final long STOP_MILLISECONDS = 2_000;
+    private static final long STOP_TIMEOUT_MILLISECONDS = 2_000;
 
     private final Eventloop loop;
     private final Thread thread;
 
-    /** Starts the thread of the duty with the given name. */
+    /** Starts an event loop on a new thread with the given name. */
     public EventLoopThread(String name) {
         loop =
                 Eventloop.builder()
@@ -40,17 +40,17 @@
         return loop;
     }
 
-    /** Runs a task on the duty's thread. */
+    /** Runs a task on the thread of the loop. */
     public void execute(Runnable task) {
         loop.execute(task);
     }
 
-    /** Runs a task on the duty's thread; completes or fails as the task does. */
+    /** Runs a task on the thread of the loop; completes or fails as the task does. */
     public CompletableFuture<Void> submit(Runnable task) {
         return loop.submit(task::run);
     }
 
-    /** Timers of this duty; to be used on its thread only. */
+    /** Timers of this loop; use them only on its thread. */
     public Timers timers() {
         return (delayMilliseconds, task) -> {
             ScheduledRunnable scheduled = loop.delay(delayMilliseconds, task);
@@ -62,12 +62,12 @@
         };
     }
 
-    /** Runs a task again and again, with the given pause after each run, while the loop runs. */
+    /** Runs a task repeatedly, with the given pause between runs, for as long as the loop runs. */
     public void every(long pauseMilliseconds, Runnable task) {
         loop.execute(() -> repeat(pauseMilliseconds, task));
     }
 
-    /** Ends the loop and its thread. */
+    /** Stops the loop and its thread. */
     public void stop() {
         loop.execute(
                 () -> {
@@ -75,7 +75,7 @@
                     loop.breakEventloop();
                 });
         try {
-            thread.join(STOP_MILLISECONDS);
+            thread.join(STOP_TIMEOUT_MILLISECONDS);
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
--- a/node/src/main/java/org/damaskmoor/node/internal/http/BodyReader.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/BodyReader.java
@@ -11,8 +11,8 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * Reads one request's body up to a bound and within a time. Unlike the HTTP library's reader it
- * leaves the connection open when the body is too long, so that the caller can be told.
+ * Reads the body of one request, up to a size limit and within a timeout. Unlike the HTTP library's
+ * reader it leaves the connection open if the body is too long, so that the caller gets a response.
  *
  * <p>Confined to the caller event loop. Invariant: calls back once, with the body or a refusal.
  */
@@ -21,7 +21,7 @@
 
     private final int maximumBytes;
     private final Consumer<byte[]> onBody;
-    private final Consumer<RefusalReason> onFault;
+    private final Consumer<RefusalReason> onRefused;
     private final ScheduledRunnable timeout;
     private final ByteBufs received = new ByteBufs();
     private boolean done;
@@ -30,35 +30,35 @@
             Eventloop loop,
             int maximumBytes,
             Consumer<byte[]> onBody,
-            Consumer<RefusalReason> onFault) {
+            Consumer<RefusalReason> onRefused) {
         this.maximumBytes = maximumBytes;
         this.onBody = onBody;
-        this.onFault = onFault;
+        this.onRefused = onRefused;
         this.timeout = loop.delayBackground(TIMEOUT, () -> fail(RefusalReason.MALFORMED));
     }
 
-    /** Reads the body of the request. */
+    /** Reads the body of a request. */
     static void read(
             Eventloop loop,
             HttpRequest request,
             int maximumBytes,
             Consumer<byte[]> onBody,
-            Consumer<RefusalReason> onFault) {
-        BodyReader reader = new BodyReader(loop, maximumBytes, onBody, onFault);
+            Consumer<RefusalReason> onRefused) {
+        BodyReader reader = new BodyReader(loop, maximumBytes, onBody, onRefused);
         if (request.hasBody()) {
             reader.finish(request.getBody().getArray());
         } else {
-            reader.readOn(request.takeBodyStream());
+            reader.readNext(request.takeBodyStream());
         }
     }
 
-    private void readOn(ChannelSupplier<ByteBuf> stream) {
+    private void readNext(ChannelSupplier<ByteBuf> stream) {
         stream.get()
-                .whenResult(part -> take(stream, part))
+                .whenResult(part -> onPart(stream, part))
                 .whenException(exception -> fail(RefusalReason.MALFORMED));
     }
 
-    private void take(ChannelSupplier<ByteBuf> stream, ByteBuf part) {
+    private void onPart(ChannelSupplier<ByteBuf> stream, ByteBuf part) {
         if (done) {
             recycle(part);
         } else if (part == null) {
@@ -68,7 +68,7 @@
             if (received.remainingBytes() > maximumBytes) {
                 fail(RefusalReason.TOO_LARGE);
             } else {
-                readOn(stream);
+                readNext(stream);
             }
         }
     }
@@ -86,7 +86,7 @@
                 timeout.cancel();
             }
             received.recycle();
-            onFault.accept(reason);
+            onRefused.accept(reason);
         }
     }
 
--- a/node/src/main/java/org/damaskmoor/node/internal/http/CallerAcceptor.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/CallerAcceptor.java
@@ -7,25 +7,25 @@
 import java.net.InetSocketAddress;
 import java.util.function.BiConsumer;
 
-/** Accepts callers' connections and hands each on. Confined to the caller event loop. */
+/** Accepts callers' connections and passes each on. Confined to the caller event loop. */
 final class CallerAcceptor extends AbstractReactiveServer {
-    private final BiConsumer<ITcpSocket, InetAddress> connections;
+    private final BiConsumer<ITcpSocket, InetAddress> onConnection;
 
-    private CallerAcceptor(NioReactor loop, BiConsumer<ITcpSocket, InetAddress> connections) {
+    private CallerAcceptor(NioReactor loop, BiConsumer<ITcpSocket, InetAddress> onConnection) {
         super(loop);
-        this.connections = connections;
+        this.onConnection = onConnection;
     }
 
     static CallerAcceptor at(
             NioReactor loop,
             InetSocketAddress address,
-            BiConsumer<ITcpSocket, InetAddress> connections) {
-        return new CallerAcceptor(loop, connections).new Builder(address).build();
+            BiConsumer<ITcpSocket, InetAddress> onConnection) {
+        return new CallerAcceptor(loop, onConnection).new Builder(address).build();
     }
 
     @Override
     protected void serve(ITcpSocket socket, InetAddress remote) {
-        connections.accept(socket, remote);
+        onConnection.accept(socket, remote);
     }
 
     private final class Builder extends AbstractReactiveServer.Builder<Builder, CallerAcceptor> {
--- a/node/src/main/java/org/damaskmoor/node/internal/http/CallerLimits.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/CallerLimits.java
@@ -1,10 +1,10 @@
 package org.damaskmoor.node.internal.http;
 
 /**
- * Bounds of the port for callers. Immutable and thread-safe.
+ * Limits of the caller port. Immutable and thread-safe.
  *
- * @param bodyBytes longest body of a request
- * @param connections most connections in all
- * @param connectionsPerCaller most connections from one address
+ * @param bodyBytes maximum size of a request body
+ * @param connections maximum number of connections
+ * @param connectionsPerCaller maximum number of connections from one address
  */
 public record CallerLimits(int bodyBytes, int connections, int connectionsPerCaller) {}
--- a/node/src/main/java/org/damaskmoor/node/internal/http/CallerReply.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/CallerReply.java
@@ -5,10 +5,10 @@
 import org.damaskmoor.schema.mesh.HeaderField;
 
 /**
- * What a caller gets. Immutable and thread-safe.
+ * A response to a caller. Immutable and thread-safe.
  *
  * @param status the HTTP status
  * @param headers end-to-end fields, without the length
- * @param body the whole body
+ * @param body the complete body
  */
 public record CallerReply(int status, List<HeaderField> headers, ByteString body) {}
--- a/node/src/main/java/org/damaskmoor/node/internal/http/CallerRequest.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/CallerRequest.java
@@ -7,16 +7,16 @@
 import org.damaskmoor.schema.mesh.HeaderField;
 
 /**
- * A whole request as a caller sent it, hop-by-hop fields removed. Immutable and thread-safe.
+ * A complete request of a caller, without hop-by-hop fields. Immutable and thread-safe.
  *
  * @param method the HTTP method
  * @param path the path without query
  * @param target path and query as sent
  * @param host the Host field without port, in lower case
  * @param headers the end-to-end fields, in order
- * @param body the whole body
- * @param remote the address the connection came from
- * @param arrivalNanoseconds when the request was whole, on the monotonic clock
+ * @param body the complete body
+ * @param remote the caller's address
+ * @param arrivalNanoseconds when the request was read completely, on the monotonic clock
  */
 public record CallerRequest(
         String method,
@@ -28,20 +28,20 @@
         InetAddress remote,
         long arrivalNanoseconds) {
 
-    /** The same request with its body, which was whole at the given time. */
-    CallerRequest withBody(byte[] whole, long wholeNanoseconds) {
+    /** The same request with its body, which was read completely at the given time. */
+    CallerRequest withBody(byte[] completeBody, long completedNanoseconds) {
         return new CallerRequest(
                 method,
                 path,
                 target,
                 host,
                 headers,
-                ByteString.copyFrom(whole),
+                ByteString.copyFrom(completeBody),
                 remote,
-                wholeNanoseconds);
+                completedNanoseconds);
     }
 
-    /** The first value of a field, or an empty text. */
+    /** The first value of a field, or an empty string. */
     public String header(String name) {
         for (HeaderField field : headers) {
             if (field.getName().equalsIgnoreCase(name)) {
--- a/node/src/main/java/org/damaskmoor/node/internal/http/CallerRequestHandler.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/CallerRequestHandler.java
@@ -3,17 +3,17 @@
 import java.util.function.Consumer;
 import org.damaskmoor.schema.mesh.RefusalReason;
 
-/** Leads callers' requests to their replies. Called on the caller event loop. */
+/** Handles callers' requests. Called on the caller event loop. */
 public interface CallerRequestHandler {
     /**
-     * Leads a request to its reply.
+     * Handles a request.
      *
-     * @param request the whole request
-     * @param reply gets the reply, on the caller event loop
-     * @return ends the request when its caller is gone
+     * @param request the complete request
+     * @param reply receives the reply, on the caller event loop
+     * @return cancels the request if its caller disconnects
      */
     Runnable handle(CallerRequest request, Consumer<CallerReply> reply);
 
-    /** Accounts for and answers a request that could not even be read. */
+    /** Records the refusal of a request that could not be read, and replies to it. */
     void refuseUnparsed(String caller, RefusalReason reason, Consumer<CallerReply> reply);
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/http/CallerResponses.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/CallerResponses.java
@@ -5,10 +5,10 @@
 import org.damaskmoor.schema.mesh.HeaderField;
 
 /**
- * Turns replies into the HTTP library's form. Stateless and thread-safe.
+ * Converts replies to responses of the HTTP library. Stateless and thread-safe.
  *
- * <p>Invariant: no field can end its line, and an answer to HEAD has the length that the upstream
- * named, without a body.
+ * <p>Invariant: no header value can contain a line break, and a response to HEAD has the length
+ * that the upstream declared, without a body.
  */
 final class CallerResponses {
     private static final int NO_CONTENT = 204;
@@ -16,24 +16,26 @@
 
     private CallerResponses() {}
 
-    /** Whether the reply must not name the length of its body. */
-    static boolean omitsContentLength(CallerReply reply, boolean head) {
-        boolean named =
+    /** Whether the response must not declare a length. */
+    static boolean omitsContentLength(CallerReply reply, boolean isHead) {
+        boolean declared =
                 reply.headers().stream()
                         .anyMatch(field -> field.getName().equalsIgnoreCase("Content-Length"));
-        return reply.status() == NO_CONTENT || reply.status() == NOT_MODIFIED || (head && !named);
+        return reply.status() == NO_CONTENT
+                || reply.status() == NOT_MODIFIED
+                || (isHead && !declared);
     }
 
-    static HttpResponse.Builder of(CallerReply reply, boolean head) {
+    static HttpResponse.Builder of(CallerReply reply, boolean isHead) {
         HttpResponse.Builder response = HttpResponse.ofCode(reply.status());
         for (HeaderField field : reply.headers()) {
             boolean length = field.getName().equalsIgnoreCase("Content-Length");
-            if (FieldSyntax.isName(field.getName()) && (head || !length)) {
+            if (FieldSyntax.isName(field.getName()) && (isHead || !length)) {
                 response.withHeader(
                         HttpHeaders.of(field.getName()), FieldSyntax.sanitize(field.getValue()));
             }
         }
-        if (!head && !reply.body().isEmpty()) {
+        if (!isHead && !reply.body().isEmpty()) {
             response.withBody(reply.body().toByteArray());
         }
         return response;
--- a/node/src/main/java/org/damaskmoor/node/internal/http/CallerServer.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/CallerServer.java
@@ -22,37 +22,39 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * The port for callers: reads whole requests, hands them on and writes the replies.
+ * The HTTP server of the caller port: reads complete requests, passes them to the handler and
+ * writes the responses.
  *
- * <p>Confined to the caller event loop, but for {@link #start} and {@link #stop}. Invariants: a
- * connection serves one request at a time, so that a reply reaches only its own request; what can't
- * be read is refused and its connection closed, so that the rest is not taken for a request.
+ * <p>Confined to the caller event loop, except {@link #start}, {@link #startConnectionDraining} and
+ * {@link #stop}. Invariants: a connection serves one request at a time, so that a response reaches
+ * only its own request; a request that can't be read is refused and its connection closed, so that
+ * the rest of its bytes isn't read as another request.
  */
 public final class CallerServer {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final Duration READ_WRITE_TIMEOUT = Duration.ofSeconds(30);
     private static final Duration KEEP_ALIVE_TIMEOUT = Duration.ofSeconds(30);
-    private static final int CLIENT_CLOSED = 499;
+    private static final int CLIENT_CLOSED_REQUEST = 499;
 
     private final Eventloop loop;
     private final CallerLimits limits;
     private final CallerRequestHandler handler;
     private final LongSupplier clock;
-    private final CallerAcceptor listener;
+    private final CallerAcceptor acceptor;
     private final HttpServer server;
-    private final ConnectionRefuser refusals;
+    private final ConnectionRefuser refuser;
     private final ConnectionLimiter connections;
-    private CallerSocket accepting;
-    private volatile boolean closing;
+    private CallerSocket acceptedSocket;
+    private volatile boolean draining;
 
     /**
      * Creates a server that does not listen yet.
      *
      * @param loop the caller event loop
-     * @param address where it will listen
-     * @param limits its bounds
+     * @param address the listen address
+     * @param limits limits of the port
      * @param stopTimeout longest time that {@link #stop} waits for open requests
-     * @param handler leads requests to their replies
+     * @param handler handles the requests
      * @param clock the monotonic clock, in nanoseconds
      */
     public CallerServer(
@@ -66,41 +68,41 @@
         this.limits = limits;
         this.handler = handler;
         this.clock = clock;
-        this.refusals = new ConnectionRefuser(handler);
+        this.refuser = new ConnectionRefuser(handler);
         this.connections = new ConnectionLimiter(limits);
-        this.listener = CallerAcceptor.at(loop, address, this::accept);
+        this.acceptor = CallerAcceptor.at(loop, address, this::accept);
         this.server =
                 HttpServer.builder(loop, this::serve)
                         .withReadWriteTimeout(READ_WRITE_TIMEOUT)
                         .withKeepAliveTimeout(KEEP_ALIVE_TIMEOUT)
                         .withServeTimeoutShutdown(stopTimeout)
-                        .withHttpErrorFormatter(CallerServer::afterException)
+                        .withHttpErrorFormatter(CallerServer::errorResponse)
                         .withInspector(
                                 new ConnectionInspector(
-                                        connection -> connection.setUserData(accepting),
+                                        connection -> connection.setUserData(acceptedSocket),
                                         (connection, head) ->
-                                                refusals.refuseUnparsableHead(
+                                                refuser.refuseUnparsableHead(
                                                         socket(connection), head)))
                         .build();
     }
 
-    /** Opens the port. Fails when it can't be opened, for example because it is in use. */
+    /** Opens the port. Fails if that is impossible, for example because the port is in use. */
     public CompletableFuture<Void> start() {
         return loop.submit(this::listen);
     }
 
-    /** Tells callers from now on, with each reply, to connect elsewhere. Any thread. */
+    /** Asks callers in every response from now on to close their connection. Any thread. */
     public void startConnectionDraining() {
-        closing = true;
+        draining = true;
     }
 
-    /** Takes no new connection, finishes the open requests and closes. */
+    /** Stops accepting connections, finishes the open requests and closes. Any thread. */
     public CompletableFuture<Void> stop() {
         CompletableFuture<Void> stopped = new CompletableFuture<>();
         loop.execute(
                 () -> {
-                    closing = true;
-                    listener.close()
+                    draining = true;
+                    acceptor.close()
                             .then(() -> server.close())
                             .whenComplete(() -> stopped.complete(null));
                 });
@@ -109,29 +111,30 @@
 
     private void listen() throws IOException {
         server.listen();
-        listener.listen();
+        acceptor.listen();
     }
 
-    private void accept(ITcpSocket raw, InetAddress remote) {
-        Optional<RefusalReason> tooMany = connections.register(remote);
-        CallerSocket socket = new CallerSocket(loop, raw, () -> connections.unregister(remote));
-        if (tooMany.isPresent()) {
-            refusals.refuse(socket, remote.getHostAddress(), tooMany.get());
+    private void accept(ITcpSocket tcpSocket, InetAddress remote) {
+        Optional<RefusalReason> limitExceeded = connections.register(remote);
+        CallerSocket socket =
+                new CallerSocket(loop, tcpSocket, () -> connections.unregister(remote));
+        if (limitExceeded.isPresent()) {
+            refuser.refuse(socket, remote.getHostAddress(), limitExceeded.get());
             return;
         }
         socket.onMalformedRequest(
                 () ->
-                        refusals.refuse(
+                        refuser.refuse(
                                 socket, RequestValidator.UNKNOWN_CALLER, RefusalReason.MALFORMED));
-        accepting = socket;
+        acceptedSocket = socket;
         HttpConnections.serve(server, socket, remote);
     }
 
     private Promise<HttpResponse> serve(HttpRequest request) {
         CallerSocket socket = socket(request.getConnection());
-        Optional<RefusalReason> fault = RequestValidator.validate(request, limits.bodyBytes());
-        if (fault.isPresent()) {
-            refusals.refuse(socket, RequestValidator.callerName(request), fault.get());
+        Optional<RefusalReason> refusal = RequestValidator.validate(request, limits.bodyBytes());
+        if (refusal.isPresent()) {
+            refuser.refuse(socket, RequestValidator.callerName(request), refusal.get());
             return Promise.ofException(new RequestRefusedException());
         }
         SettablePromise<HttpResponse> response = new SettablePromise<>();
@@ -142,9 +145,9 @@
     private void readBody(
             HttpRequest request, CallerSocket socket, SettablePromise<HttpResponse> response) {
         String caller = RequestValidator.callerName(request);
-        boolean head = request.getMethod() == HttpMethod.HEAD;
+        boolean isHead = request.getMethod() == HttpMethod.HEAD;
         CallerRequest withoutBody = withoutBody(request);
-        socket.onMalformedRequest(() -> refusals.refuse(socket, caller, RefusalReason.MALFORMED));
+        socket.onMalformedRequest(() -> refuser.refuse(socket, caller, RefusalReason.MALFORMED));
         socket.setReadingBody(true);
         BodyReader.read(
                 loop,
@@ -153,17 +156,17 @@
                 body -> {
                     socket.setReadingBody(false);
                     CallerRequest whole = withoutBody.withBody(body, clock.getAsLong());
-                    dispatch(whole, head, socket, response);
+                    dispatch(whole, isHead, socket, response);
                 },
                 reason -> {
-                    refusals.refuse(socket, caller, reason);
+                    refuser.refuse(socket, caller, reason);
                     response.trySetException(new RequestRefusedException());
                 });
     }
 
     private void dispatch(
             CallerRequest request,
-            boolean head,
+            boolean isHead,
             CallerSocket socket,
             SettablePromise<HttpResponse> response) {
         Runnable cancellation =
@@ -171,20 +174,20 @@
                         request,
                         reply -> {
                             socket.stopWatching();
-                            response.trySet(response(reply, head, socket));
+                            response.trySet(response(reply, isHead, socket));
                         });
         if (!response.isComplete()) {
             socket.watchForDisconnect(
                     () -> {
                         cancellation.run();
-                        response.trySet(HttpResponse.ofCode(CLIENT_CLOSED).build());
+                        response.trySet(HttpResponse.ofCode(CLIENT_CLOSED_REQUEST).build());
                     });
         }
     }
 
     /**
-     * Copies the head of a request. To be called before its body is read: the library returns the
-     * buffer that holds both to its pool with the body, and other threads write into it.
+     * Copies the head of a request. Must be called before the body is read: with the body the
+     * library returns the buffer that contains both to its pool, and other threads overwrite it.
      */
     private CallerRequest withoutBody(HttpRequest request) {
         String host = request.getHeader(HttpHeaders.HOST);
@@ -199,20 +202,22 @@
                 clock.getAsLong());
     }
 
-    private HttpResponse response(CallerReply reply, boolean head, CallerSocket socket) {
-        HttpResponse.Builder response = CallerResponses.of(reply, head);
-        if (CallerResponses.omitsContentLength(reply, head)) {
+    private HttpResponse response(CallerReply reply, boolean isHead, CallerSocket socket) {
+        HttpResponse.Builder response = CallerResponses.of(reply, isHead);
+        if (CallerResponses.omitsContentLength(reply, isHead)) {
             socket.omitContentLength();
         }
-        if (closing) {
+        if (draining) {
             socket.closeAfterReply();
             response.withHeader(HttpHeaders.CONNECTION, "close");
         }
         return response.build();
     }
 
-    /** The reply after a fault in this node; of a refused request it is never written. */
-    private static Promise<HttpResponse> afterException(Exception exception) {
+    /**
+     * The response after an exception in this node; the one for a refused request is never written.
+     */
+    private static Promise<HttpResponse> errorResponse(Exception exception) {
         if (!(exception instanceof RequestRefusedException)) {
             logger.atSevere().withCause(exception).log("event=request-failed step=entry peer=self");
         }
--- a/node/src/main/java/org/damaskmoor/node/internal/http/CallerSocket.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/CallerSocket.java
@@ -10,17 +10,18 @@
 import java.time.Duration;
 
 /**
- * A caller's connection below the HTTP library. Adds to a plain socket what the library leaves out:
+ * A caller's connection below the HTTP library. Adds what the library lacks to a plain socket:
  *
  * <ul>
- *   <li>{@link #watchForDisconnect} notices a caller that goes while its request waits;
- *   <li>{@link #beginRefusal} takes the connection from the library, which would close it or answer
- *       without a body, so that a refusal of an unreadable request reaches its caller whole;
- *   <li>{@link #closeAfterReply} keeps the promise of {@code Connection: close}.
+ *   <li>{@link #watchForDisconnect} notices a caller that disconnects while its request is open;
+ *   <li>{@link #beginRefusal} takes the connection over from the library, which would close it or
+ *       reply without a body, so that a caller whose request can't be read gets a complete refusal;
+ *   <li>{@link #closeAfterReply} closes the connection after a response with {@code Connection:
+ *       close}.
  * </ul>
  *
- * <p>Confined to the caller event loop. Invariant: at most one read of the socket below is under
- * way, and at most one buffer read ahead is held.
+ * <p>Confined to the caller event loop. Invariant: at most one read of the underlying socket is
+ * pending, and at most one buffer is read ahead.
  */
 final class CallerSocket implements ITcpSocket {
     private static final Duration LINGER = Duration.ofSeconds(1);
@@ -38,14 +39,14 @@
     private final Runnable onClosed;
     private State state = State.OPEN;
     private boolean reading;
-    private SettablePromise<ByteBuf> wanted;
-    private Promise<ByteBuf> ahead;
-    private Runnable onGone;
-    private Runnable onMalformed = () -> {};
-    private boolean bodyWanted;
-    private boolean omitsLength;
+    private SettablePromise<ByteBuf> pendingRead;
+    private Promise<ByteBuf> readAhead;
+    private Runnable onDisconnect;
+    private Runnable malformedCallback = () -> {};
+    private boolean readingBody;
+    private boolean omitsContentLength;
     private boolean inputEnded;
-    private boolean replied;
+    private boolean refusalWritten;
 
     CallerSocket(Eventloop loop, ITcpSocket socket, Runnable onClosed) {
         this.loop = loop;
@@ -53,41 +54,49 @@
         this.onClosed = onClosed;
     }
 
-    /** Calls back when the caller closes its side before {@link #stopWatching}. */
-    void watchForDisconnect(Runnable whenGone) {
-        onGone = whenGone;
-        if (!reading && ahead == null) {
+    /** Calls back if the caller closes its side before {@link #stopWatching}. */
+    void watchForDisconnect(Runnable callback) {
+        onDisconnect = callback;
+        if (!reading && readAhead == null) {
             startReading();
         }
     }
 
     void stopWatching() {
-        onGone = null;
+        onDisconnect = null;
     }
 
-    /** How to refuse a request that the library finds malformed. */
+    /** Sets the action that refuses a request that the library finds malformed. */
     void onMalformedRequest(Runnable refusal) {
-        onMalformed = refusal;
+        malformedCallback = refusal;
     }
 
-    /** Whether a body is being read: it is malformed, too, when the connection is given up. */
-    void setReadingBody(boolean wantsBody) {
-        bodyWanted = wantsBody;
+    /**
+     * Sets whether a body is being read. If the library closes the connection meanwhile, the
+     * request counts as malformed.
+     */
+    void setReadingBody(boolean isReading) {
+        readingBody = isReading;
     }
 
-    /** The reply that is written next is the last one. */
+    /** Marks the next response as the last one. */
     void closeAfterReply() {
         if (state == State.OPEN) {
             state = State.LAST_REPLY;
         }
     }
 
-    /** The reply that is written next has no body and names no length (RFC 9110, section 8.6). */
+    /**
+     * Removes the Content-Length of the next response, which has no body (RFC 9110, section 8.6).
+     */
     void omitContentLength() {
-        omitsLength = true;
+        omitsContentLength = true;
     }
 
-    /** Takes the connection from the HTTP library. False: it was taken or closed before. */
+    /**
+     * Takes the connection over from the HTTP library; returns false if it was already taken over
+     * or closed.
+     */
     boolean beginRefusal() {
         if (state != State.OPEN && state != State.LAST_REPLY) {
             return false;
@@ -97,13 +106,13 @@
         return true;
     }
 
-    /** Writes the last bytes, lets the caller read them, and closes. */
+    /** Writes the refusal, gives the caller time to read it, and closes. */
     void finishRefusal(byte[] reply) {
-        loop.delay(LINGER, this::closeBelow);
+        loop.delay(LINGER, this::closeSocket);
         socket.write(ByteBuf.wrapForReading(reply))
                 .then(() -> socket.write(null))
-                .whenResult(this::replied)
-                .whenException(this::closeBelow);
+                .whenResult(this::onRefusalWritten)
+                .whenException(this::closeSocket);
     }
 
     @Override
@@ -112,15 +121,15 @@
             return Promise.of(null);
         }
         if (state != State.OPEN) {
-            return Promise.ofException(closed());
+            return Promise.ofException(closedException());
         }
-        if (ahead != null) {
-            Promise<ByteBuf> taken = ahead;
-            ahead = null;
+        if (readAhead != null) {
+            Promise<ByteBuf> taken = readAhead;
+            readAhead = null;
             return taken;
         }
         SettablePromise<ByteBuf> promise = new SettablePromise<>();
-        wanted = promise;
+        pendingRead = promise;
         if (!reading) {
             startReading();
         }
@@ -130,20 +139,21 @@
     @Override
     public Promise<Void> write(ByteBuf buffer) {
         if (state == State.OPEN || state == State.LAST_REPLY) {
-            boolean omits = omitsLength && buffer != null;
-            omitsLength = false;
+            boolean omits = omitsContentLength && buffer != null;
+            omitsContentLength = false;
             return socket.write(omits ? ResponseBytes.removeZeroContentLength(buffer) : buffer);
         }
         if (buffer != null) {
             buffer.recycle();
         }
-        return Promise.ofException(closed());
+        return Promise.ofException(closedException());
     }
 
     @Override
     public boolean isReadAvailable() {
-        boolean held = ahead != null && ahead.isResult() && ahead.getResult() != null;
-        return state == State.OPEN && held;
+        boolean available =
+                readAhead != null && readAhead.isResult() && readAhead.getResult() != null;
+        return state == State.OPEN && available;
     }
 
     @Override
@@ -153,12 +163,12 @@
 
     @Override
     public void closeEx(Exception reason) {
-        boolean malformed = bodyWanted || reason instanceof MalformedHttpException;
+        boolean malformed = readingBody || reason instanceof MalformedHttpException;
         if (state == State.OPEN && malformed && !socket.isClosed()) {
-            onMalformed.run();
+            malformedCallback.run();
         }
         if (state != State.REFUSING) {
-            closeBelow();
+            closeSocket();
         }
     }
 
@@ -170,68 +180,71 @@
     private void onRead(ByteBuf buffer, Exception exception) {
         reading = false;
         if (state != State.OPEN) {
-            dropped(buffer);
-        } else if (wanted != null) {
-            SettablePromise<ByteBuf> promise = wanted;
-            wanted = null;
+            discard(buffer);
+        } else if (pendingRead != null) {
+            SettablePromise<ByteBuf> promise = pendingRead;
+            pendingRead = null;
             promise.set(buffer, exception);
         } else {
-            ahead = Promise.of(buffer, exception);
+            readAhead = Promise.of(buffer, exception);
             if (buffer == null) {
-                callerGone();
+                onCallerDisconnected();
             }
         }
     }
 
-    private void callerGone() {
-        Runnable whenGone = onGone;
-        onGone = null;
-        if (whenGone != null) {
+    private void onCallerDisconnected() {
+        Runnable callback = onDisconnect;
+        onDisconnect = null;
+        if (callback != null) {
             state = State.GONE;
-            whenGone.run();
+            callback.run();
         }
     }
 
     private void abandonRead() {
-        SettablePromise<ByteBuf> promise = wanted;
-        wanted = null;
+        SettablePromise<ByteBuf> promise = pendingRead;
+        pendingRead = null;
         if (promise != null) {
-            promise.setException(closed());
+            promise.setException(closedException());
         }
-        if (ahead != null) {
-            inputEnded |= ahead.isResult() && ahead.getResult() == null;
-            ahead.whenResult(CallerSocket::recycle);
-            ahead = null;
+        if (readAhead != null) {
+            inputEnded |= readAhead.isResult() && readAhead.getResult() == null;
+            readAhead.whenResult(CallerSocket::recycle);
+            readAhead = null;
         }
     }
 
-    private void replied() {
-        replied = true;
-        drain();
+    private void onRefusalWritten() {
+        refusalWritten = true;
+        drainInput();
     }
 
-    /** Reads what still comes, so that closing does not take the reply from the caller. */
-    private void drain() {
+    /**
+     * Reads and discards further input: closing with unread input would reset the connection, and
+     * the caller could lose the reply.
+     */
+    private void drainInput() {
         if (inputEnded) {
-            closeBelow();
+            closeSocket();
         } else if (state == State.REFUSING && !reading) {
             startReading();
         }
     }
 
-    private void dropped(ByteBuf buffer) {
+    private void discard(ByteBuf buffer) {
         recycle(buffer);
         inputEnded |= buffer == null;
-        if (replied || state != State.REFUSING) {
-            drain();
+        if (refusalWritten || state != State.REFUSING) {
+            drainInput();
         }
     }
 
-    private void closeBelow() {
+    private void closeSocket() {
         if (state != State.CLOSED) {
             state = State.CLOSED;
             abandonRead();
-            socket.closeEx(closed());
+            socket.closeEx(closedException());
             onClosed.run();
         }
     }
@@ -242,7 +255,7 @@
         }
     }
 
-    private static AsyncCloseException closed() {
+    private static AsyncCloseException closedException() {
         return new AsyncCloseException("the connection is closed");
     }
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/http/ConnectionInspector.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/ConnectionInspector.java
@@ -6,16 +6,19 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-/** Tells what the HTTP library does with connections. Confined to the caller event loop. */
+/**
+ * Reports accepted connections and unparsable requests of the HTTP library. Confined to the caller
+ * event loop.
+ */
 final class ConnectionInspector extends HttpServer.JmxInspector {
     private final Consumer<HttpServerConnection> onAccept;
-    private final BiConsumer<HttpServerConnection, byte[]> onUnreadable;
+    private final BiConsumer<HttpServerConnection, byte[]> onUnparsable;
 
     ConnectionInspector(
             Consumer<HttpServerConnection> onAccept,
-            BiConsumer<HttpServerConnection, byte[]> onUnreadable) {
+            BiConsumer<HttpServerConnection, byte[]> onUnparsable) {
         this.onAccept = onAccept;
-        this.onUnreadable = onUnreadable;
+        this.onUnparsable = onUnparsable;
     }
 
     @Override
@@ -28,6 +31,6 @@
     public void onMalformedHttpRequest(
             HttpServerConnection connection, MalformedHttpException exception, byte[] received) {
         super.onMalformedHttpRequest(connection, exception, received);
-        onUnreadable.accept(connection, received);
+        onUnparsable.accept(connection, received);
     }
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/http/ConnectionLimiter.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/ConnectionLimiter.java
@@ -7,33 +7,35 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * Counts callers' connections and says which are too many.
+ * Counts callers' connections and tells which exceed the limits.
  *
- * <p>Confined to the caller event loop. Invariant: the counts are those of {@link #register} less
- * those of {@link #unregister}, and an address without connections takes no memory.
+ * <p>Confined to the caller event loop. Invariant: the counts are the calls of {@link #register}
+ * less those of {@link #unregister}; an address without connections takes no memory.
  */
 final class ConnectionLimiter {
     private final CallerLimits limits;
     private final Map<InetAddress, Integer> byAddress = new HashMap<>();
-    private int all;
+    private int total;
 
     ConnectionLimiter(CallerLimits limits) {
         this.limits = limits;
     }
 
-    /** Counts a connection; returns why it is one too many, if it is. */
+    /** Counts a new connection; returns the reason to refuse it if it exceeds a limit. */
     Optional<RefusalReason> register(InetAddress address) {
-        all++;
-        int ofCaller = byAddress.merge(address, 1, Integer::sum);
-        if (ofCaller > limits.connectionsPerCaller()) {
+        total++;
+        int fromAddress = byAddress.merge(address, 1, Integer::sum);
+        if (fromAddress > limits.connectionsPerCaller()) {
             return Optional.of(RefusalReason.CALLER_OVER_SHARE);
         }
-        return all > limits.connections() ? Optional.of(RefusalReason.NODE_BUSY) : Optional.empty();
+        return total > limits.connections()
+                ? Optional.of(RefusalReason.NODE_BUSY)
+                : Optional.empty();
     }
 
-    /** A counted connection is closed. */
+    /** Stops counting a connection that was closed. */
     void unregister(InetAddress address) {
-        all--;
+        total--;
         byAddress.computeIfPresent(address, (key, count) -> count > 1 ? count - 1 : null);
     }
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/http/ConnectionRefuser.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/ConnectionRefuser.java
@@ -3,11 +3,11 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * Refuses requests that could not be read, or connections that are too many, and closes their
+ * Refuses requests that can't be read and connections that exceed a limit, and closes their
  * connections.
  *
- * <p>Confined to the caller event loop. Invariant: a connection is refused, and accounted for,
- * once.
+ * <p>Confined to the caller event loop. Invariant: a connection is refused, and its refusal
+ * recorded, once.
  */
 final class ConnectionRefuser {
     private static final int FIELDS_TOO_LARGE = 431;
@@ -18,14 +18,14 @@
         this.handler = handler;
     }
 
-    /** Refuses what stands in the head of a request. */
+    /** Refuses a request whose head the library could not parse. */
     void refuseUnparsableHead(CallerSocket socket, byte[] head) {
         RefusalReason reason = RequestValidator.classifyUnparsableHead(head);
-        boolean large = reason == RefusalReason.TOO_LARGE;
-        refuse(socket, RequestValidator.UNKNOWN_CALLER, reason, large ? FIELDS_TOO_LARGE : 0);
+        boolean tooLarge = reason == RefusalReason.TOO_LARGE;
+        refuse(socket, RequestValidator.UNKNOWN_CALLER, reason, tooLarge ? FIELDS_TOO_LARGE : 0);
     }
 
-    /** Refuses a request, and what may follow on its connection. */
+    /** Refuses a request and closes its connection, including any requests that follow on it. */
     void refuse(CallerSocket socket, String caller, RefusalReason reason) {
         refuse(socket, caller, reason, 0);
     }
@@ -36,9 +36,9 @@
                     caller,
                     reason,
                     reply -> {
-                        CallerReply sent =
+                        CallerReply response =
                                 status == 0 ? reply : OutcomeReplies.withStatus(reply, status);
-                        socket.finishRefusal(ResponseBytes.closingResponse(sent));
+                        socket.finishRefusal(ResponseBytes.closingResponse(response));
                     });
         }
     }
--- a/node/src/main/java/org/damaskmoor/node/internal/http/FieldSyntax.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/FieldSyntax.java
@@ -1,8 +1,8 @@
 package org.damaskmoor.node.internal.http;
 
 /**
- * What may stand in header fields (RFC 9110, sections 5.1 and 5.5). The HTTP library lets a bare
- * CR, NUL and other control characters pass, by which an answer could be split.
+ * Checks names and values of header fields (RFC 9110, sections 5.1 and 5.5). The HTTP library
+ * accepts a bare CR, NUL and other control characters, which allow response splitting.
  *
  * <p>Stateless and thread-safe.
  */
@@ -12,24 +12,27 @@
 
     private FieldSyntax() {}
 
-    /** Whether the text is a field name. */
+    /** Whether the text is a valid field name. */
     static boolean isName(String text) {
         return !text.isEmpty() && text.chars().allMatch(FieldSyntax::isTokenCharacter);
     }
 
-    /** Whether the text holds no control character but tabs. */
+    /** Whether the text has no control characters other than tabs. */
     static boolean isValue(String text) {
         return text.chars().noneMatch(FieldSyntax::isControl);
     }
 
-    /** The value with a space in place of each control character. */
+    /** Replaces each control character by a space. */
     static String sanitize(String value) {
         if (isValue(value)) {
             return value;
         }
-        StringBuilder clean = new StringBuilder(value.length());
-        value.chars().forEach(each -> clean.append(isControl(each) ? ' ' : (char) each));
-        return clean.toString();
+        StringBuilder sanitized = new StringBuilder(value.length());
+        value.chars()
+                .forEach(
+                        character ->
+                                sanitized.append(isControl(character) ? ' ' : (char) character));
+        return sanitized.toString();
     }
 
     private static boolean isTokenCharacter(int character) {
--- a/node/src/main/java/org/damaskmoor/node/internal/http/HeaderFields.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/HeaderFields.java
@@ -13,9 +13,9 @@
 import org.damaskmoor.schema.mesh.HeaderField;
 
 /**
- * Copies fields between HTTP messages and the mesh's form, without those that belong to one
- * connection only (RFC 9110, section 7.6.1). Names that are no token are left out, and control
- * characters in values become spaces, so that no field can end its line.
+ * Copies header fields from HTTP messages to mesh messages, without those that apply to one
+ * connection only (RFC 9110, section 7.6.1). Fields whose name is not a token are dropped, and
+ * control characters in values become spaces, so that no value can contain a line break.
  *
  * <p>Stateless and thread-safe.
  */
@@ -37,7 +37,7 @@
 
     /** The end-to-end fields of a message, in order. */
     public static List<HeaderField> endToEnd(HttpMessage message) {
-        Set<String> named = namedByConnection(message);
+        Set<String> connectionNames = namesInConnection(message);
         List<HeaderField> fields = new ArrayList<>();
         for (Map.Entry<HttpHeader, HttpHeaderValue> entry : message.getHeaders()) {
             String name = entry.getKey().toString();
@@ -45,7 +45,8 @@
             if (isDecoded(lowerCase, entry.getValue().toString())) {
                 continue;
             }
-            boolean endToEnd = !HOP_BY_HOP.contains(lowerCase) && !named.contains(lowerCase);
+            boolean endToEnd =
+                    !HOP_BY_HOP.contains(lowerCase) && !connectionNames.contains(lowerCase);
             if (endToEnd && FieldSyntax.isName(name)) {
                 fields.add(field(name, FieldSyntax.sanitize(entry.getValue().toString())));
             }
@@ -53,11 +54,13 @@
         return fields;
     }
 
-    /** The end-to-end fields of an answer, and its length, which an answer to HEAD passes on. */
-    public static List<HeaderField> ofResponse(HttpMessage answer) {
-        List<HeaderField> fields = endToEnd(answer);
-        String length = answer.getHeader(HttpHeaders.CONTENT_LENGTH);
-        if (length != null && answer.getHeader(HttpHeaders.CONTENT_ENCODING) == null) {
+    /**
+     * The end-to-end fields of a response and its length, which is forwarded in responses to HEAD.
+     */
+    public static List<HeaderField> ofResponse(HttpMessage response) {
+        List<HeaderField> fields = endToEnd(response);
+        String length = response.getHeader(HttpHeaders.CONTENT_LENGTH);
+        if (length != null && response.getHeader(HttpHeaders.CONTENT_ENCODING) == null) {
             fields.add(field("Content-Length", FieldSyntax.sanitize(length)));
         }
         return fields;
@@ -68,12 +71,12 @@
         return HeaderField.newBuilder().setName(name).setValue(value).build();
     }
 
-    /** The HTTP library hands out gzip bodies decoded, so the field no longer holds. */
+    /** The HTTP library decodes gzip bodies, so the field no longer applies. */
     private static boolean isDecoded(String lowerCaseName, String value) {
         return lowerCaseName.equals("content-encoding") && value.equalsIgnoreCase("gzip");
     }
 
-    private static Set<String> namedByConnection(HttpMessage message) {
+    private static Set<String> namesInConnection(HttpMessage message) {
         String connection = message.getHeader(HttpHeaders.CONNECTION);
         if (connection == null) {
             return Set.of();
--- a/node/src/main/java/org/damaskmoor/node/internal/http/HttpConnections.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/HttpConnections.java
@@ -8,11 +8,9 @@
 import java.net.InetAddress;
 
 /**
- * Opens the HTTP library's connections over sockets of ours: the library itself accepts plain
- * sockets only.
+ * Serves HTTP over custom sockets: the library's own server accepts plain sockets only.
  *
- * <p>Stateless and thread-safe. Fails when this class is loaded if the library no longer has the
- * method.
+ * <p>Stateless and thread-safe. Loading this class fails if the library no longer has the method.
  */
 final class HttpConnections {
     private static final MethodHandle SERVE = serveMethod();
@@ -25,8 +23,10 @@
             SERVE.invokeExact(server, socket, remote);
         } catch (RuntimeException | Error failure) {
             throw failure;
-        } catch (Throwable impossible) {
-            throw new IllegalStateException("the HTTP server threw a checked one", impossible);
+        } catch (Throwable checked) {
+            throw new IllegalStateException(
+                    "HttpServer.serve threw a checked exception, which it does not declare",
+                    checked);
         }
     }
 
@@ -37,8 +37,8 @@
                             HttpServer.class,
                             "serve",
                             MethodType.methodType(void.class, ITcpSocket.class, InetAddress.class));
-        } catch (ReflectiveOperationException absent) {
-            throw new ExceptionInInitializerError(absent);
+        } catch (ReflectiveOperationException missing) {
+            throw new ExceptionInInitializerError(missing);
         }
     }
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/http/OutcomeReplies.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/OutcomeReplies.java
@@ -12,22 +12,22 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * Makes the replies for requests that were not answered by an upstream: problem details (RFC 9457)
- * with the outcome named in a field.
+ * Builds the replies to requests that no upstream answered: problem details (RFC 9457) with the
+ * outcome in a header field.
  *
  * <p>Stateless and thread-safe.
  */
 public final class OutcomeReplies {
-    /** Names the outcome of a request that was not answered. */
+    /** Header with the outcome of a request that was not answered. */
     public static final String OUTCOME_FIELD = "Damaskmoor-Outcome";
 
-    /** Value of the outcome field: the request did not run and never will. */
+    /** Outcome: the request did not run and never will. */
     public static final String NOT_RUN = "not-run";
 
-    /** Value of the outcome field: the request may have run. */
+    /** Outcome: the request may have run. */
     public static final String UNKNOWN = "unknown";
 
-    /** Marks a refusal that a node further down already retried. */
+    /** Header that marks a refusal that a node further down the call chain has already retried. */
     public static final String REFUSED_BELOW_FIELD = "Damaskmoor-Refused-Below";
 
     private static final int BAD_REQUEST = 400;
@@ -42,12 +42,12 @@
     private OutcomeReplies() {}
 
     /**
-     * The reply for a request that did not run.
+     * The reply to a request that did not run.
      *
-     * @param reason why
-     * @param detail one sentence for a person
-     * @param refusalId names this refusal in the accounts
-     * @param retryAfterMilliseconds when to try again, at the earliest
+     * @param reason the reason
+     * @param detail explains the reason to a person
+     * @param refusalId id of the refusal in the accounting
+     * @param retryAfterMilliseconds earliest time for a retry
      */
     public static CallerReply notRun(
             RefusalReason reason, String detail, String refusalId, int retryAfterMilliseconds) {
@@ -63,7 +63,7 @@
         return reply(status, headers, problem);
     }
 
-    /** The reply for a request that was handed over and of which no answer came. */
+    /** The reply to a request that was handed over and got no complete answer. */
     public static CallerReply unknown(String step, String peer) {
         JsonObject problem =
                 problem(
@@ -76,14 +76,14 @@
         return reply(GATEWAY_TIMEOUT, headers(UNKNOWN), problem);
     }
 
-    /** The same problem under another status of the same class. */
+    /** The same problem with another status of the same class. */
     static CallerReply withStatus(CallerReply reply, int status) {
         JsonObject problem = JsonParser.parseString(reply.body().toStringUtf8()).getAsJsonObject();
         problem.addProperty("status", status);
         return reply(status, reply.headers(), problem);
     }
 
-    /** A reason as callers read it, for example {@code queue-full}. */
+    /** A reason as callers see it, for example {@code queue-full}. */
     public static String wireName(RefusalReason reason) {
         return reason.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
--- a/node/src/main/java/org/damaskmoor/node/internal/http/RequestValidator.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/RequestValidator.java
@@ -11,7 +11,7 @@
 import java.util.regex.Pattern;
 import org.damaskmoor.schema.mesh.RefusalReason;
 
-/** Checks that the HTTP library leaves to its user. Stateless and thread-safe. */
+/** Validates what the HTTP library leaves unchecked. Stateless and thread-safe. */
 final class RequestValidator {
     static final String UNKNOWN_CALLER = "unknown";
 
@@ -22,22 +22,24 @@
 
     private RequestValidator() {}
 
-    /** Why a request whose head was read must be refused before its body is read, if so. */
+    /** Returns the reason to refuse a request before its body is read; empty if it is valid. */
     static Optional<RefusalReason> validate(HttpRequest request, int maximumBodyBytes) {
-        if (!hasCertainEnd(request) || !hasOneHost(request) || !isTargetPlain(request)) {
+        if (!hasUnambiguousLength(request)
+                || !hasOneHost(request)
+                || !isTargetUnambiguous(request)) {
             return Optional.of(RefusalReason.MALFORMED);
         }
-        if (!areFieldsPlain(request)) {
+        if (!areFieldsValid(request)) {
             return Optional.of(RefusalReason.MALFORMED);
         }
         String length = request.getHeader(HttpHeaders.CONTENT_LENGTH);
-        boolean large = length != null && Long.parseLong(length.strip()) > maximumBodyBytes;
-        return large ? Optional.of(RefusalReason.TOO_LARGE) : Optional.empty();
+        boolean tooLarge = length != null && Long.parseLong(length.strip()) > maximumBodyBytes;
+        return tooLarge ? Optional.of(RefusalReason.TOO_LARGE) : Optional.empty();
     }
 
     /**
-     * Why a head that the library could not read is refused: it is too large when a line is longer,
-     * or the lines are more, than the library's bounds.
+     * Returns the reason to refuse a head that the library could not parse: too large if it has a
+     * longer line, or more lines, than the library allows, malformed otherwise.
      */
     static RefusalReason classifyUnparsableHead(byte[] head) {
         int lines = 0;
@@ -60,8 +62,8 @@
         return name == null || name.isEmpty() || !FieldSyntax.isValue(name) ? UNKNOWN_CALLER : name;
     }
 
-    /** Whether the end of the body is certain (RFC 9112, section 6.3). */
-    private static boolean hasCertainEnd(HttpRequest request) {
+    /** Whether the end of the body is unambiguous (RFC 9112, section 6.3). */
+    private static boolean hasUnambiguousLength(HttpRequest request) {
         int lengths = count(request, HttpHeaders.CONTENT_LENGTH);
         int encodings = count(request, HttpHeaders.TRANSFER_ENCODING);
         String length = request.getHeader(HttpHeaders.CONTENT_LENGTH);
@@ -80,8 +82,11 @@
                 && (host == null || HOST.matcher(host).matches());
     }
 
-    /** The library reads a target without a slash as a host; its full URL shows what was sent. */
-    private static boolean isTargetPlain(HttpRequest request) {
+    /**
+     * The library parses a target without a leading slash as a host; its full URL shows what was
+     * sent.
+     */
+    private static boolean isTargetUnambiguous(HttpRequest request) {
         String query = request.getQuery();
         String host = request.getHeader(HttpHeaders.HOST);
         String url = request.getFullUrl();
@@ -95,12 +100,12 @@
                 && (request.getFragment() == null || request.getFragment().isEmpty());
     }
 
-    private static boolean areFieldsPlain(HttpRequest request) {
+    private static boolean areFieldsValid(HttpRequest request) {
         for (Map.Entry<HttpHeader, HttpHeaderValue> entry : request.getHeaders()) {
-            boolean plain =
+            boolean valid =
                     FieldSyntax.isName(entry.getKey().toString())
                             && FieldSyntax.isValue(entry.getValue().toString());
-            if (!plain) {
+            if (!valid) {
                 return false;
             }
         }
--- a/node/src/main/java/org/damaskmoor/node/internal/load/LoadMeasurementFactory.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/load/LoadMeasurementFactory.java
@@ -10,9 +10,9 @@
 import org.damaskmoor.schema.settings.NodeSettings;
 
 /**
- * Makes the parts of a node that measure load, all of which count with the same counters.
+ * Creates the components of a node that measure load; they share one set of counters.
  *
- * <p>Immutable and thread-safe; what it makes belongs to one duty each.
+ * <p>Immutable and thread-safe; each created component is confined to the event loop of its user.
  */
 public final class LoadMeasurementFactory {
     private final NodeSettings settings;
@@ -21,11 +21,11 @@
     private final LongSupplier clock;
 
     /**
-     * Measuring of one node.
+     * Creates a factory for one node.
      *
-     * @param settings its settings
-     * @param metrics where bytes are counted
-     * @param members says which nodes stand in other regions
+     * @param settings the node's settings
+     * @param metrics registry of the byte counters
+     * @param members tells which nodes are in other regions
      * @param clock the monotonic clock, in nanoseconds
      */
     public LoadMeasurementFactory(
@@ -39,7 +39,7 @@
         this.clock = clock;
     }
 
-    /** The reports of the target part. */
+    /** Creates the report limiter of the target proxy. */
     public LoadReportLimiter createReportLimiter() {
         return new LoadReportLimiter(
                 new NodeId(settings.getNodeId()),
@@ -49,17 +49,17 @@
                 clock);
     }
 
-    /** The probes of the entry part, which are sent from now on. */
-    public LoadProber startProber(EventLoopThread loop, TargetFrameSender carrier) {
-        LoadProber probes =
+    /** Creates the prober of the entry proxy and starts its ticks. */
+    public LoadProber startProber(EventLoopThread loop, TargetFrameSender frameSender) {
+        LoadProber prober =
                 new LoadProber(
                         new NodeId(settings.getNodeId()),
                         new RegionName(settings.getRegion()),
                         settings.getMeasuringBytesPerSecond(),
                         counters,
-                        carrier::send,
+                        frameSender::send,
                         clock);
-        loop.every(LoadProber.TICK_MILLISECONDS, probes::tick);
-        return probes;
+        loop.every(LoadProber.TICK_MILLISECONDS, prober::tick);
+        return prober;
     }
 }
