--- a/node/src/main/java/org/damaskmoor/node/internal/load/LoadProber.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/load/LoadProber.java
@@ -16,17 +16,17 @@
 import org.damaskmoor.schema.mesh.MeshFrame;
 
 /**
- * Asks targets for their load where no answer has told of it for a while, within a byte budget.
+ * Probes targets for their load if no response has reported it for a while, within a byte budget.
  *
  * <pre>{@code
- * Router router = probes.around(service, Router.create(...));
- * loop.every(LoadProbes.TICK_MILLISECONDS, probes::tick);
+ * Router router = prober.wrap(service, Router.create(...));
+ * loop.every(LoadProber.TICK_MILLISECONDS, prober::tick);
  * }</pre>
  *
  * <p>Confined to the caller event loop. Invariant: all services share one budget.
  */
 public final class LoadProber {
-    /** How often {@link #tick} is to be called. */
+    /** Interval at which to call {@link #tick}. */
     public static final long TICK_MILLISECONDS = 100;
 
     private final NodeId self;
@@ -36,15 +36,15 @@
     private final BiConsumer<NodeId, MeshFrame> sender;
     private final LongSupplier clock;
     private final Map<ServiceName, ProbePlanner> planners = new HashMap<>();
-    private long lastProbe;
+    private long lastProbeId;
 
     /**
-     * Creates the probes of one entry node.
+     * Creates the prober of an entry node.
      *
      * @param self this node, which is never probed
-     * @param region the region it stands in
-     * @param bytesPerSecond the budget of all probes; 0: none are sent
-     * @param counters counts what was spent
+     * @param region this node's region
+     * @param bytesPerSecond the budget of all probes; 0 disables them
+     * @param counters counts the bytes spent
      * @param sender sends a frame to a node
      * @param clock the monotonic clock, in nanoseconds
      */
@@ -63,7 +63,7 @@
         this.clock = clock;
     }
 
-    /** The router of a service, watched for what it hears of its targets. */
+    /** Wraps the router of a service to observe the load reports of its targets. */
     public Router wrap(ServiceName service, Router router) {
         ProbePlanner planner = new ProbePlanner(region, budget);
         planners.put(service, planner);
@@ -76,14 +76,14 @@
         for (ProbePlanner planner : planners.values()) {
             for (TargetId target : planner.plan(now)) {
                 counters.countWithinRegion(MeasurementKind.PROBE, ProbePlanner.PROBE_BYTES);
-                sender.accept(target.node(), probe());
+                sender.accept(target.node(), createProbe());
             }
         }
     }
 
-    private MeshFrame probe() {
+    private MeshFrame createProbe() {
         return MeshFrame.newBuilder()
-                .setLoadProbe(LoadProbe.newBuilder().setProbeId(++lastProbe))
+                .setLoadProbe(LoadProbe.newBuilder().setProbeId(++lastProbeId))
                 .build();
     }
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/load/LoadReportLimiter.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/load/LoadReportLimiter.java
@@ -10,14 +10,14 @@
 /**
  * Decides which answers and refusals carry a load report, within a byte budget.
  *
- * <p>Confined to the upstream event loop. Invariant: bytes of reports to other nodes stay within
- * the budget; without budget an answer carries an empty report, which says nothing.
+ * <p>Confined to the upstream event loop. Invariant: reports to other nodes stay within the budget;
+ * once it is used up, answers carry an empty report, which has no meaning.
  */
 public final class LoadReportLimiter {
-    /** What a node may spend on measuring in all. */
+    /** Budget of a node for all measurement of load. */
     public static final long MEASURING_BYTES_PER_SECOND = 3_000;
 
-    /** Field number and length of the report within the frame that it rides on. */
+    /** Size of the report's field number and length in its frame. */
     private static final int FIELD_BYTES = 2;
 
     private final NodeId self;
@@ -27,12 +27,12 @@
     private final LongSupplier clock;
 
     /**
-     * Creates the decision of one target.
+     * Creates the limiter of a target.
      *
-     * @param self this node, to which reports cost nothing
-     * @param inOtherRegion whether the paid link leads to a node
-     * @param probeBytesPerSecond what probes may take of the node's budget
-     * @param counters counts what was spent
+     * @param self this node; reports to itself cost nothing
+     * @param inOtherRegion whether a node is reached over the paid link
+     * @param probeBytesPerSecond the part of the node's budget reserved for probes
+     * @param counters counts the bytes spent
      * @param clock the monotonic clock, in nanoseconds
      */
     public LoadReportLimiter(
@@ -51,7 +51,10 @@
         this.clock = clock;
     }
 
-    /** The report as the peer gets it: whole, or empty when the budget is used up. */
+    /**
+     * Returns the report to send to the peer: the given one, or an empty one if the budget is used
+     * up.
+     */
     public LoadReport reportFor(NodeId peer, LoadReport report) {
         if (self.equals(peer)) {
             return report;
--- a/node/src/main/java/org/damaskmoor/node/internal/load/MeasurementCounters.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/load/MeasurementCounters.java
@@ -6,7 +6,7 @@
 import org.damaskmoor.node.internal.metrics.NodeMetric;
 
 /**
- * Counts the bytes spent on measuring load, by kind, in all and over the paid link.
+ * Counts the bytes spent on measuring load by kind, in total and over the paid link.
  *
  * <p>Thread-safe.
  */
@@ -21,12 +21,12 @@
         }
     }
 
-    /** Bytes were sent to a node of the own region. */
+    /** Counts bytes sent to a node of the own region. */
     void countWithinRegion(MeasurementKind kind, int bytes) {
         registry.counter(name(NodeMetric.MEASURING_BYTES, kind)).inc(bytes);
     }
 
-    /** Bytes were sent to another region. */
+    /** Counts bytes sent to another region. */
     void countOverPaidLink(MeasurementKind kind, int bytes) {
         countWithinRegion(kind, bytes);
         registry.counter(name(NodeMetric.PAID_LINK_MEASURING_BYTES, kind)).inc(bytes);
--- a/node/src/main/java/org/damaskmoor/node/internal/load/ProbeTrackingRouter.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/load/ProbeTrackingRouter.java
@@ -18,10 +18,11 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * Tells a probe planner what a router hears, and passes everything on.
+ * A router that tells a probe planner which targets have reported their load and delegates to
+ * another router.
  *
- * <p>Confined to the caller event loop. Invariant: an empty report counts as not heard; the node
- * never probes itself.
+ * <p>Confined to the caller event loop. Invariant: an empty report doesn't count as a report; the
+ * node never probes itself.
  */
 final class ProbeTrackingRouter implements Router {
     private final Router router;
@@ -34,7 +35,7 @@
         this.planner = planner;
     }
 
-    private void heard(TargetId target, LoadReport load, long now) {
+    private void recordReport(TargetId target, LoadReport load, long now) {
         if (load.getLimit() > 0) {
             planner.onLoadReport(target, now);
         }
@@ -56,20 +57,20 @@
 
     @Override
     public void onAnswered(TargetId target, long latency, LoadReport load, long now) {
-        heard(target, load, now);
+        recordReport(target, load, now);
         router.onAnswered(target, latency, load, now);
     }
 
     @Override
     public void onRefused(
             TargetId target, long waited, RefusalReason reason, LoadReport load, long now) {
-        heard(target, load, now);
+        recordReport(target, load, now);
         router.onRefused(target, waited, reason, load, now);
     }
 
     @Override
     public void onLoadReport(TargetId target, LoadReport load, long now) {
-        heard(target, load, now);
+        recordReport(target, load, now);
         router.onLoadReport(target, load, now);
     }
 
--- a/node/src/main/java/org/damaskmoor/node/internal/load/package-info.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/load/package-info.java
@@ -1,2 +1,2 @@
-/** What a node spends on knowing the load of others, and how it is counted and bounded. */
+/** Measurement of other nodes' load, with counters and limits for the bytes that it costs. */
 package org.damaskmoor.node.internal.load;
--- a/node/src/main/java/org/damaskmoor/node/internal/members/MemberDirectory.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/members/MemberDirectory.java
@@ -20,10 +20,10 @@
 import org.damaskmoor.schema.mesh.UpstreamState;
 
 /**
- * The members as last published by the membership duty, for the other duties to read.
+ * The members of the cluster as last published by membership, for use by the other components.
  *
- * <p>Thread-safe: a snapshot is replaced whole. Invariant: holds members that are alive or suspect
- * only.
+ * <p>Thread-safe: each publication replaces an immutable snapshot. Invariant: contains only members
+ * that are alive or suspect.
  */
 public final class MemberDirectory {
     private record Snapshot(
@@ -31,7 +31,7 @@
 
     private volatile Snapshot snapshot = new Snapshot(Map.of(), Map.of());
 
-    /** Replaces what is known by a new list of members. */
+    /** Replaces the snapshot. */
     public void publish(Collection<MemberRecord> members) {
         Map<NodeId, MemberRecord> byNode = new HashMap<>();
         Map<ServiceName, List<Target>> byService = new HashMap<>();
@@ -44,14 +44,14 @@
         snapshot = new Snapshot(byNode, byService);
     }
 
-    /** Members in the state. */
+    /** Number of members in the state. */
     public long count(MemberState state) {
         return snapshot.byNode().values().stream()
                 .filter(member -> member.getState() == state)
                 .count();
     }
 
-    /** Where the mesh port of a member is. */
+    /** The mesh address of a member. */
     public Optional<MeshPeer> peer(NodeId node) {
         return Optional.ofNullable(snapshot.byNode().get(node)).map(MemberDirectory::meshPeer);
     }
@@ -61,12 +61,12 @@
         return Optional.ofNullable(snapshot.byNode().get(node));
     }
 
-    /** Whether a node is known to stand in the region. */
+    /** Whether the node is a member in the region. */
     public boolean isInRegion(NodeId node, String region) {
         return member(node).filter(known -> known.getRegion().equals(region)).isPresent();
     }
 
-    /** Whether a record's node is a member in the same incarnation. */
+    /** Whether the node of a record is a member in the same incarnation. */
     public boolean isCurrent(MemberRecord record) {
         return !record.getNodeId().isEmpty()
                 && member(new NodeId(record.getNodeId()))
@@ -74,12 +74,12 @@
                         .isPresent();
     }
 
-    /** The members that stand beside an upstream of the service. */
+    /** The members that run beside an upstream of the service. */
     public List<Target> targets(ServiceName service) {
         return snapshot.byService().getOrDefault(service, List.of());
     }
 
-    /** Members of the region that stand in another data centre. */
+    /** Members of the region in other data centres. */
     public List<MeshPeer> peersOutside(DataCentreName dataCentre, RegionName region) {
         List<MeshPeer> peers = new ArrayList<>();
         for (MemberRecord member : snapshot.byNode().values()) {
--- a/node/src/main/java/org/damaskmoor/node/internal/members/MembershipManager.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/members/MembershipManager.java
@@ -28,16 +28,16 @@
 public final class MembershipManager {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final long JOIN_RETRY_MILLISECONDS = 1_000;
-    private static final long JOIN_POINT_CHECK_MILLISECONDS = 15_000;
+    private static final long SEED_CHECK_MILLISECONDS = 15_000;
 
-    /** Time between two looks at the join points by all nodes together, when they are many. */
-    private static final long GROUP_CHECK_MILLISECONDS = 50;
+    /** Average time between two seed checks of the whole cluster, if it is large. */
+    private static final long SEED_CHECK_MILLISECONDS_PER_MEMBER = 50;
 
-    /** Shortest time between two publications, so that a burst of news costs one. */
-    private static final long PUBLISH_MILLISECONDS = 50;
+    /** Minimum time between two publications, so that a burst of changes causes only one. */
+    private static final long MINIMUM_PUBLISH_INTERVAL_MILLISECONDS = 50;
 
     private final MembershipProtocol protocol;
-    private final SeedNodeRegistry joinPoints;
+    private final SeedNodeRegistry seedNodes;
     private final MemberDirectory directory;
     private final MembershipListener listener;
     private final Executor control;
@@ -49,47 +49,47 @@
     private MemberRecord publishedSelf = MemberRecord.getDefaultInstance();
     private long nextPublishMilliseconds;
     private long nextJoinMilliseconds;
-    private long nextCheckMilliseconds;
+    private long nextSeedCheckMilliseconds;
 
-    /** Told of what other duties need to know. Called on the control event loop. */
+    /** Notified of membership changes. Called on the control event loop. */
     public interface MembershipListener {
-        /** The directory was published anew. */
-        void onPublished();
+        /** The directory was updated. */
+        void onDirectoryPublished();
 
         /** A member is present: new, changed, back, or in a new incarnation. */
-        void onPresent(MemberRecord member);
+        void onMemberPresent(MemberRecord member);
 
-        /** A member is dead or left. */
-        void onGone(MemberRecord member);
+        /** A member is dead or has left. */
+        void onMemberGone(MemberRecord member);
 
-        /** A later start of this node is known: this process must stop. */
+        /** A later incarnation of this node exists: this process must stop. */
         void onSuperseded();
     }
 
     /**
-     * Creates the duty.
+     * Creates the manager.
      *
      * @param self this node's record
      * @param sender sends datagrams
-     * @param extension what rides on them
-     * @param joinPoints where first peers are found
-     * @param directory where members are published
-     * @param listener told of changes
+     * @param extension piggybacks other data on the datagrams
+     * @param seedNodes provides the first peers
+     * @param directory receives the members
+     * @param listener notified of changes
      * @param control runs tasks on the control event loop
      * @param milliseconds a monotonic clock
-     * @param random chooses whom to probe
+     * @param random chooses the members to probe
      */
     public MembershipManager(
             MemberRecord self,
             DatagramSender sender,
             GossipExtension extension,
-            SeedNodeRegistry joinPoints,
+            SeedNodeRegistry seedNodes,
             MemberDirectory directory,
             MembershipListener listener,
             Executor control,
             LongSupplier milliseconds,
             RandomGenerator random) {
-        this.joinPoints = joinPoints;
+        this.seedNodes = seedNodes;
         this.directory = directory;
         this.listener = listener;
         this.control = control;
@@ -106,37 +106,41 @@
                         milliseconds.getAsLong());
     }
 
-    /** The protocol, for what rides on it. */
+    /** The protocol, for components that piggyback data on it. */
     public MembershipProtocol protocol() {
         return protocol;
     }
 
-    /** Takes in a datagram. */
+    /** Handles a datagram. */
     public void receive(GossipMessage message, InetSocketAddress from) {
         protocol.receive(message, from, milliseconds.getAsLong());
         publishIfDue();
     }
 
-    /** Does what is due; call it every {@link MembershipProtocol#TICK_MILLISECONDS}. */
+    /** Runs what is due; call it every {@link MembershipProtocol#TICK_MILLISECONDS}. */
     public void tick() {
         long now = milliseconds.getAsLong();
         protocol.tick(now);
         if (nearestPeers.isEmpty() && now >= nextJoinMilliseconds) {
             nextJoinMilliseconds = now + JOIN_RETRY_MILLISECONDS;
-            joinThroughTable();
+            joinThroughSeedNodes();
         }
-        if (now >= nextCheckMilliseconds) {
-            nextCheckMilliseconds = now + random.nextLong(1, 2 * joinPointCheckMilliseconds());
-            keepJoinPoint();
+        if (now >= nextSeedCheckMilliseconds) {
+            nextSeedCheckMilliseconds = now + random.nextLong(1, 2 * seedCheckMilliseconds());
+            registerAsSeedNode();
         }
         publishIfDue();
     }
 
-    private long joinPointCheckMilliseconds() {
-        return Math.max(JOIN_POINT_CHECK_MILLISECONDS, members.size() * GROUP_CHECK_MILLISECONDS);
+    private long seedCheckMilliseconds() {
+        return Math.max(
+                SEED_CHECK_MILLISECONDS, members.size() * SEED_CHECK_MILLISECONDS_PER_MEMBER);
     }
 
-    /** Other members, those of the own data centre first, then those of the own region. */
+    /**
+     * Other live members: those of the own data centre first, then those of the own region, then
+     * all others.
+     */
     public List<NodeId> nearestPeers() {
         return nearestPeers;
     }
@@ -161,14 +165,14 @@
         return member.getRegion().equals(self.getRegion()) ? 1 : 2;
     }
 
-    private void keepJoinPoint() {
-        joinPoints
+    private void registerAsSeedNode() {
+        seedNodes
                 .registerIfNeeded(protocol.self(), directory::isCurrent)
                 .exceptionally(MembershipManager::logTableFailure);
     }
 
-    private void joinThroughTable() {
-        joinPoints
+    private void joinThroughSeedNodes() {
+        seedNodes
                 .readAddresses(protocol.self())
                 .thenAcceptAsync(
                         addresses -> protocol.join(addresses, milliseconds.getAsLong()), control)
@@ -191,15 +195,15 @@
                 event.member().getIncarnation(),
                 event.region());
         if (event.kind() == Kind.DEAD || event.kind() == Kind.LEFT) {
-            listener.onGone(event.member());
+            listener.onMemberGone(event.member());
         } else if (event.kind() == Kind.JOINED || event.kind() == Kind.CHANGED) {
-            listener.onPresent(event.member());
+            listener.onMemberPresent(event.member());
         } else if (event.kind() == Kind.SUPERSEDED) {
             listener.onSuperseded();
         }
     }
 
-    /** Changes of the own record raise no event. */
+    /** Compares the own record too, because the protocol raises no event for its changes. */
     private boolean isChanged() {
         return changed || !protocol.self().equals(publishedSelf);
     }
@@ -209,11 +213,11 @@
         if (isChanged() && now >= nextPublishMilliseconds) {
             changed = false;
             publishedSelf = protocol.self();
-            nextPublishMilliseconds = now + PUBLISH_MILLISECONDS;
+            nextPublishMilliseconds = now + MINIMUM_PUBLISH_INTERVAL_MILLISECONDS;
             members = protocol.members();
             nearestPeers = sortByDistance(members);
             directory.publish(members);
-            listener.onPublished();
+            listener.onDirectoryPublished();
         }
     }
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/members/SeedNodeRegistry.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/members/SeedNodeRegistry.java
@@ -14,9 +14,9 @@
 import org.damaskmoor.schema.gossip.MemberRecord;
 
 /**
- * The rows of the table service by which a new node finds a first peer.
+ * Seed nodes in the table service, through which a new node finds its first peer.
  *
- * <p>A data centre keeps a few rows; they are not renewed, only replaced when their node is gone,
+ * <p>Each data centre has a few rows; they are not renewed, only replaced when their node is gone,
  * so that the table service carries no heartbeats.
  *
  * <p>Thread-safe.
@@ -24,8 +24,8 @@
 public final class SeedNodeRegistry {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final String TABLE = "join-points";
-    private static final int ROWS_FOR_EACH_DATA_CENTRE = 3;
-    private static final int MAXIMUM_ROWS = 200;
+    private static final int SEED_NODES_PER_DATA_CENTRE = 3;
+    private static final int MAXIMUM_LISTED_ROWS = 200;
 
     private final TableService tables;
 
@@ -33,43 +33,46 @@
         this.tables = tables;
     }
 
-    /** Reads the gossip addresses of the join points, without the node's own. */
+    /** Reads the gossip addresses of all seed nodes except this node. */
     public CompletableFuture<List<InetSocketAddress>> readAddresses(MemberRecord self) {
-        return tables.list(TABLE, "", "", MAXIMUM_ROWS).thenApply(rows -> addresses(rows, self));
+        return tables.list(TABLE, "", "", MAXIMUM_LISTED_ROWS)
+                .thenApply(rows -> addresses(rows, self));
     }
 
     /**
-     * Makes this node a join point of its data centre if too few of those written are members.
+     * Registers this node as a seed node if too few of its data centre's registered nodes are
+     * members.
      *
      * @param self this node's record
-     * @param isMember whether a record's node is a member now; called on the platform's thread
+     * @param isMember whether the node of a record is a member now; called on the platform client's
+     *     thread
      */
     public CompletableFuture<Void> registerIfNeeded(
             MemberRecord self, Predicate<MemberRecord> isMember) {
-        return tables.list(TABLE, self.getDataCentre() + ".", "", MAXIMUM_ROWS)
+        return tables.list(TABLE, self.getDataCentre() + ".", "", MAXIMUM_LISTED_ROWS)
                 .thenCompose(rows -> registerIfNeeded(self, isMember, rows));
     }
 
     private CompletableFuture<Void> registerIfNeeded(
             MemberRecord self, Predicate<MemberRecord> isMember, List<Row> rows) {
-        int valid = 0;
-        List<Row> gone = new ArrayList<>();
+        int current = 0;
+        List<Row> stale = new ArrayList<>();
         Optional<Row> own = Optional.empty();
         for (Row row : rows) {
             MemberRecord record = parse(row).orElse(MemberRecord.getDefaultInstance());
             if (record.getNodeId().equals(self.getNodeId())) {
                 own = Optional.of(row);
             } else if (isMember.test(record)) {
-                valid++;
+                current++;
             } else {
-                gone.add(row);
+                stale.add(row);
             }
         }
-        if (valid >= ROWS_FOR_EACH_DATA_CENTRE || isCurrent(own, self)) {
+        if (current >= SEED_NODES_PER_DATA_CENTRE || isCurrent(own, self)) {
             return CompletableFuture.completedFuture(null);
         }
         Optional<Row> ownRow = own;
-        return deleteAll(gone).thenCompose(deleted -> write(self, ownRow));
+        return deleteAll(stale).thenCompose(deleted -> write(self, ownRow));
     }
 
     private CompletableFuture<Void> deleteAll(List<Row> rows) {
--- a/node/src/main/java/org/damaskmoor/node/internal/mesh/FrameHandlers.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/mesh/FrameHandlers.java
@@ -8,16 +8,16 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * Where frames go, by their kind. Each receiver is called on the mesh event loop, must not block,
- * and hands the frame to its own duty's ring. Immutable and thread-safe.
+ * Handlers for frames, by kind. Each is called on the mesh event loop, must not block, and queues
+ * the frame in the mailbox of its component. Immutable and thread-safe.
  *
  * @param entry frames about calls that this node sent
  * @param target frames about calls that this node received
- * @param loadProbe questions about this node's load
+ * @param loadProbe requests for this node's load
  * @param configuration frames about configuration
  * @param accounting frames about refusals
  * @param unsent frames that were certainly not sent
- * @param linkLost connections that are gone, and when they were used last
+ * @param linkLost lost connections, with the time of their last use
  */
 public record FrameHandlers(
         BiConsumer<MeshLink, MeshFrame> entry,
@@ -25,13 +25,15 @@
         BiConsumer<MeshLink, MeshFrame> loadProbe,
         BiConsumer<MeshLink, MeshFrame> configuration,
         BiConsumer<MeshLink, MeshFrame> accounting,
-        UnsentReceiver unsent,
+        UnsentHandler unsent,
         ObjLongConsumer<NodeId> linkLost) {
 
-    /** Told of a frame that was certainly not sent. */
+    /** Handles a frame that was certainly not sent. */
     @FunctionalInterface
-    public interface UnsentReceiver {
-        /** Takes the frame, the peer that it was for, and what a caller may be told. */
+    public interface UnsentHandler {
+        /**
+         * Handles a frame, given the peer that it was for and the refusal reason for its caller.
+         */
         void accept(NodeId peer, MeshFrame frame, RefusalReason reason);
     }
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/mesh/FrameRouter.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/mesh/FrameRouter.java
@@ -10,29 +10,29 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * Hands what happens on the mesh to the duty that it concerns.
+ * Passes frames and events of the mesh to the component that handles them.
  *
  * <p>Runs on the mesh event loop and never blocks.
  */
 public final class FrameRouter implements MeshListener {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-    private final FrameHandlers receivers;
+    private final FrameHandlers handlers;
 
-    public FrameRouter(FrameHandlers receivers) {
-        this.receivers = receivers;
+    public FrameRouter(FrameHandlers handlers) {
+        this.handlers = handlers;
     }
 
     @Override
     public void onFrame(MeshLink link, MeshFrame frame) {
         switch (frame.getBodyCase()) {
-            case CALL, SEAL, CANCEL -> receivers.target().accept(link, frame);
+            case CALL, SEAL, CANCEL -> handlers.target().accept(link, frame);
             case ACCEPTED, ANSWER, REFUSED, FAILED, SEALED, LOAD_PROBE_ANSWER ->
-                    receivers.entry().accept(link, frame);
-            case LOAD_PROBE -> receivers.loadProbe().accept(link, frame);
+                    handlers.entry().accept(link, frame);
+            case LOAD_PROBE -> handlers.loadProbe().accept(link, frame);
             case CONFIGURATION_REQUEST, CONFIGURATION_ANSWER ->
-                    receivers.configuration().accept(link, frame);
-            case REFUSAL_BATCH, REFUSAL_BATCH_STORED -> receivers.accounting().accept(link, frame);
+                    handlers.configuration().accept(link, frame);
+            case REFUSAL_BATCH, REFUSAL_BATCH_STORED -> handlers.accounting().accept(link, frame);
             default ->
                     logger.atWarning().log(
                             "event=frame-ignored step=read peer=%s kind=%s",
@@ -47,12 +47,12 @@
                 cause.step() == Step.ENQUEUE
                         ? RefusalReason.NODE_BUSY
                         : RefusalReason.TARGET_UNREACHABLE;
-        receivers.unsent().accept(peer, frame, reason);
+        handlers.unsent().accept(peer, frame, reason);
     }
 
     @Override
     public void onLinkLost(NodeId peer, long lastUsedNanoseconds, MeshException cause) {
         logger.atInfo().log("event=link-lost %s", cause.getMessage());
-        receivers.linkLost().accept(peer, lastUsedNanoseconds);
+        handlers.linkLost().accept(peer, lastUsedNanoseconds);
     }
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/mesh/LoopbackLink.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/mesh/LoopbackLink.java
@@ -7,7 +7,7 @@
 import org.damaskmoor.schema.mesh.MeshFrame;
 
 /**
- * The way from this node's target part back to its own entry part, without a connection.
+ * The link from this node's target proxy to its own entry proxy, without a connection.
  *
  * <p>Immutable and thread-safe.
  */
@@ -16,7 +16,10 @@
     private final Incarnation incarnation;
     private final Predicate<MeshFrame> entry;
 
-    /** Hands frames to the entry part; the predicate is false when its ring is full. */
+    /**
+     * Creates a link that passes frames to the predicate, which returns false if the mailbox of the
+     * entry proxy is full.
+     */
     public LoopbackLink(NodeId self, Incarnation incarnation, Predicate<MeshFrame> entry) {
         this.self = self;
         this.incarnation = incarnation;
--- a/node/src/main/java/org/damaskmoor/node/internal/shutdown/GracefulShutdown.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/shutdown/GracefulShutdown.java
@@ -6,14 +6,14 @@
 import java.util.function.LongSupplier;
 
 /**
- * Stops a node so that no request in flight is cut off: bounces new calls, finishes what is open,
- * writes what is accounted, tells the other nodes, closes the ports.
+ * Stops a node without cutting off requests in flight: refuses new calls, finishes open requests,
+ * flushes the accounting, leaves the cluster, closes the ports.
  *
- * <p>Thread-safe. Invariant: each step begins when the one before has ended or its time is over.
+ * <p>Thread-safe. Invariant: each step begins after the previous one has ended or timed out.
  */
 public final class GracefulShutdown {
-    /** Time for other nodes to hear that this one leaves, before ports close. */
-    private static final long NOTICE_MILLISECONDS = 1_000;
+    /** Time for other nodes to learn that this one leaves, before ports close. */
+    private static final long PROPAGATION_MILLISECONDS = 1_000;
 
     private static final long IDLE_CHECK_MILLISECONDS = 20;
 
@@ -22,9 +22,9 @@
     private final LongSupplier milliseconds;
 
     /**
-     * A stop that has not begun.
+     * Creates a shutdown that has not begun.
      *
-     * @param steps what to do
+     * @param steps the steps
      * @param drainMilliseconds longest time for requests in flight
      * @param milliseconds a monotonic clock
      */
@@ -39,12 +39,12 @@
     public CompletableFuture<Void> run() {
         long deadline = milliseconds.getAsLong() + drainMilliseconds;
         steps.drainTarget().run();
-        return after(NOTICE_MILLISECONDS)
+        return delay(PROPAGATION_MILLISECONDS)
                 .thenCompose(noticed -> steps.closeEntry().get())
                 .thenCompose(closed -> whenTargetIdle(deadline))
                 .thenCompose(idle -> flush(deadline))
                 .thenCompose(flushed -> steps.leave().get())
-                .thenCompose(told -> after(NOTICE_MILLISECONDS))
+                .thenCompose(left -> delay(PROPAGATION_MILLISECONDS))
                 .thenCompose(noticed -> steps.closePorts().get());
     }
 
@@ -59,11 +59,11 @@
                         idle ->
                                 idle || milliseconds.getAsLong() >= deadline
                                         ? CompletableFuture.completedFuture(null)
-                                        : after(IDLE_CHECK_MILLISECONDS)
+                                        : delay(IDLE_CHECK_MILLISECONDS)
                                                 .thenCompose(waited -> whenTargetIdle(deadline)));
     }
 
-    private static CompletableFuture<Void> after(long delayMilliseconds) {
+    private static CompletableFuture<Void> delay(long delayMilliseconds) {
         Executor later =
                 CompletableFuture.delayedExecutor(delayMilliseconds, TimeUnit.MILLISECONDS);
         return CompletableFuture.runAsync(() -> {}, later);
--- a/node/src/main/java/org/damaskmoor/node/internal/shutdown/ShutdownSteps.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/shutdown/ShutdownSteps.java
@@ -5,12 +5,12 @@
 import java.util.function.Supplier;
 
 /**
- * The steps of a planned stop. Immutable and thread-safe.
+ * The steps of a graceful shutdown. Immutable and thread-safe.
  *
- * @param drainTarget makes the target part bounce new calls
- * @param closeEntry closes the callers' port when the open requests have their replies
- * @param targetIdle whether nothing waits and nothing runs at the target part
- * @param flushAccounts writes what is accounted, within the given milliseconds
+ * @param drainTarget makes the target proxy refuse new calls
+ * @param closeEntry closes the caller port after the open requests have their responses
+ * @param targetIdle whether no call is queued or running at the target proxy
+ * @param flushAccounts flushes the accounting, within the given milliseconds
  * @param leave tells the other nodes that this one leaves
  * @param closePorts closes all other ports
  */
--- a/node/src/main/java/org/damaskmoor/node/internal/target/Announcement.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/target/Announcement.java
@@ -4,12 +4,12 @@
 import org.damaskmoor.schema.mesh.UpstreamState;
 
 /**
- * What an upstream says of itself. Immutable and thread-safe.
+ * What an upstream announces about itself. Immutable and thread-safe.
  *
- * @param service the service it runs
- * @param address where it listens
- * @param slots requests it serves at once
- * @param connections connections it takes
+ * @param service the service that it runs
+ * @param address its listen address
+ * @param slots number of requests that it serves concurrently
+ * @param connections number of connections that it accepts
  * @param state warming, serving or leaving
  */
 public record Announcement(
--- a/node/src/main/java/org/damaskmoor/node/internal/target/ClaimService.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/target/ClaimService.java
@@ -4,30 +4,30 @@
 import org.damaskmoor.schema.mesh.Call;
 
 /**
- * Claims an idempotency key for a call before it runs. Confined to the upstream event loop.
+ * Claims the idempotency key of a call before the call runs. Confined to the upstream event loop.
  *
- * <p>Invariant: an implementation that answers {@link Claim#UNAVAILABLE} may have claimed all the
- * same; {@link #release} then gives the claim back.
+ * <p>Invariant: a claim that is answered with {@link ClaimResult#UNAVAILABLE} may still have been
+ * written; {@link #release} then removes it.
  */
 @FunctionalInterface
 public interface ClaimService {
-    /** What came of a claim. */
-    enum Claim {
-        /** This call may run. */
+    /** The result of a claim. */
+    enum ClaimResult {
+        /** The call may run. */
         GRANTED,
-        /** An earlier call has the key. */
+        /** An earlier call holds the key. */
         TAKEN,
-        /** The platform did not say; the call must not run. */
+        /** The platform did not answer; the call must not run. */
         UNAVAILABLE
     }
 
     /**
      * Claims the key of the call.
      *
-     * @param whenDone gets the result once, on the upstream event loop
+     * @param whenDone receives the result once, on the upstream event loop
      */
-    void claim(Call call, Consumer<Claim> whenDone);
+    void claim(Call call, Consumer<ClaimResult> whenDone);
 
-    /** Gives the claim of a call back, if it stands, because the call did not run. */
+    /** Releases the claim of a call that did not run, if the call holds one. */
     default void release(Call call) {}
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/target/ClaimTracker.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/target/ClaimTracker.java
@@ -7,16 +7,16 @@
 import org.damaskmoor.schema.mesh.Call;
 
 /**
- * The claims of calls that have not ended.
+ * Tracks the claims of calls that have not ended.
  *
- * <p>Confined to the upstream event loop. Invariants: a call that ends without having run gives its
- * claim back, also when it ends while the claim is on its way; a call that may have run keeps it.
+ * <p>Confined to the upstream event loop. Invariants: a call that ends without having run releases
+ * its claim, even if it ends while the claim is pending; a call that may have run keeps its claim.
  */
 final class ClaimTracker {
     private enum State {
-        ASKED,
-        /** The call ended without a run before the claim was answered. */
-        UNWANTED,
+        PENDING,
+        /** The call ended without running while the claim was pending. */
+        ABANDONED,
         HELD
     }
 
@@ -31,39 +31,41 @@
         return call.getClaim() && !call.getIdempotencyKey().isEmpty();
     }
 
-    /** Claims for an open call; nothing is told when the call ended meanwhile. */
-    void claim(OpenCall call, Consumer<ClaimService.Claim> whenDone) {
-        states.put(call.id(), State.ASKED);
+    /** Claims the key of an open call; there is no callback if the call ends first. */
+    void claim(OpenCall call, Consumer<ClaimService.ClaimResult> whenDone) {
+        states.put(call.id(), State.PENDING);
         service.claim(call.call(), claim -> onClaim(call, claim, whenDone));
     }
 
     private void onClaim(
-            OpenCall call, ClaimService.Claim claim, Consumer<ClaimService.Claim> whenDone) {
-        State before = states.remove(call.id());
-        boolean mayStand = claim != ClaimService.Claim.TAKEN;
-        if (before == State.UNWANTED) {
-            if (mayStand) {
+            OpenCall call,
+            ClaimService.ClaimResult claim,
+            Consumer<ClaimService.ClaimResult> whenDone) {
+        State previous = states.remove(call.id());
+        boolean mayBeWritten = claim != ClaimService.ClaimResult.TAKEN;
+        if (previous == State.ABANDONED) {
+            if (mayBeWritten) {
                 service.release(call.call());
             }
             return;
         }
-        if (mayStand) {
+        if (mayBeWritten) {
             states.put(call.id(), State.HELD);
         }
         whenDone.accept(claim);
     }
 
-    /** The call ended and did not run. */
+    /** Releases the claim of a call that ended without running. */
     void onNotRun(OpenCall call) {
         State state = states.remove(call.id());
-        if (state == State.ASKED) {
-            states.put(call.id(), State.UNWANTED);
+        if (state == State.PENDING) {
+            states.put(call.id(), State.ABANDONED);
         } else if (state == State.HELD) {
             service.release(call.call());
         }
     }
 
-    /** The call ended and ran, or may have run. */
+    /** Keeps the claim of a call that ended and ran, or may have run. */
     void onMayHaveRun(RequestId id) {
         states.remove(id);
     }
--- a/node/src/main/java/org/damaskmoor/node/internal/target/CrashDetector.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/target/CrashDetector.java
@@ -19,62 +19,63 @@
 import org.damaskmoor.schema.mesh.UpstreamState;
 
 /**
- * Watches the upstream beside this node for crashes, and refuses requests that were in flight at
- * crashes of two upstreams.
+ * Detects crashes of the upstream beside this node, and refuses requests that were in flight when
+ * two upstreams crashed.
  *
- * <p>A crash is: a connection was lost while its call ran, and then the upstream refuses
- * connections, announces itself as warming, or lets its announcement lapse. After it announced that
- * it leaves, nothing is a crash.
+ * <p>An upstream has crashed if a connection was lost while its call ran, and the upstream then
+ * refuses connections, announces itself as warming, or lets its announcement expire. Nothing counts
+ * as a crash after the upstream has announced that it leaves.
  *
- * <p>Thread-safe: one lock guards all; the upstream event loop and, for {@link #merge}, the control
- * event loop use it. Invariant: holds one fingerprint for each call that runs, and those of lost
- * calls until the crash is certain or its upstream is seen alive for {@link #CERTAIN_NANOSECONDS}.
+ * <p>Thread-safe: one lock guards all state; it is used by the upstream event loop and, for {@link
+ * #merge}, by the control event loop. Invariant: holds one fingerprint for each running call, and
+ * those of lost calls until the crash is certain or the upstream announces itself {@link
+ * #SUSPICION_NANOSECONDS} later.
  */
 public final class CrashDetector {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final long CERTAIN_NANOSECONDS = 30_000_000_000L;
+    private static final long SUSPICION_NANOSECONDS = 30_000_000_000L;
 
-    private record Lost(RequestFingerprint request, long atNanoseconds) {}
+    private record LostCall(RequestFingerprint request, long atNanoseconds) {}
 
     private final NodeId self;
     private final Incarnation incarnation;
     private final LongSupplier clock;
-    private final Consumer<QuarantineRecord> spread;
+    private final Consumer<QuarantineRecord> broadcast;
     private final Quarantine quarantine = Quarantine.create();
     private final Map<RequestId, RequestFingerprint> running = new HashMap<>();
-    private final List<Lost> lost = new ArrayList<>();
+    private final List<LostCall> lostCalls = new ArrayList<>();
     private boolean leaving;
 
     /**
-     * Watches with an empty quarantine.
+     * Creates a detector with an empty quarantine.
      *
-     * @param self this node
-     * @param incarnation this start of it
+     * @param self this node's id
+     * @param incarnation this node's current incarnation
      * @param clock the monotonic clock, in nanoseconds
-     * @param spread tells the other nodes of a crash
+     * @param broadcast sends a crash record to the other nodes
      */
     public CrashDetector(
             NodeId self,
             Incarnation incarnation,
             LongSupplier clock,
-            Consumer<QuarantineRecord> spread) {
+            Consumer<QuarantineRecord> broadcast) {
         this.self = self;
         this.incarnation = incarnation;
         this.clock = clock;
-        this.spread = spread;
+        this.broadcast = broadcast;
     }
 
-    /** Another node told of a crash. True: it was news and should be told on. */
+    /** Merges a crash record of another node; returns true if it was new and must be passed on. */
     public synchronized boolean merge(QuarantineRecord record) {
         return quarantine.merge(CrashRecord.of(record), clock.getAsLong());
     }
 
-    /** Crashes that still count. */
+    /** Number of crash records that have not expired. */
     public synchronized int recordCount() {
         return quarantine.records(clock.getAsLong()).size();
     }
 
-    /** The refusal for a call that must not run; empty when it may. */
+    /** Returns the refusal for a quarantined call; empty if the call may run. */
     synchronized Optional<CallRefusal> quarantineRefusal(Call call) {
         long now = clock.getAsLong();
         RequestFingerprint request = fingerprint(call);
@@ -98,42 +99,44 @@
         if (outcome instanceof UpstreamOutcome.Answered) {
             quarantine.onAnswered(request, now);
         } else if (outcome instanceof UpstreamOutcome.Failed failed && failed.connectionLost()) {
-            lost.add(new Lost(request, now));
+            lostCalls.add(new LostCall(request, now));
         } else if (outcome instanceof UpstreamOutcome.NotRun notRun && notRun.unreachable()) {
-            onGone("refused");
+            confirmCrash("refused");
         }
     }
 
-    /** The upstream announced itself. */
+    /** Handles an announcement of the upstream. */
     synchronized void onAnnounced(UpstreamState state) {
         leaving = state == UpstreamState.LEAVING;
         if (leaving) {
-            lost.clear();
+            lostCalls.clear();
         } else if (state == UpstreamState.WARMING) {
-            onGone("restarted");
+            confirmCrash("restarted");
         }
-        long oldest = clock.getAsLong() - CERTAIN_NANOSECONDS;
-        lost.removeIf(call -> call.atNanoseconds() < oldest);
+        long oldest = clock.getAsLong() - SUSPICION_NANOSECONDS;
+        lostCalls.removeIf(call -> call.atNanoseconds() < oldest);
     }
 
-    /** The upstream's announcement has lapsed. */
+    /** Handles the end of the announcement's lease. */
     synchronized void onAnnouncementExpired() {
-        running.values().forEach(request -> lost.add(new Lost(request, clock.getAsLong())));
-        onGone("announcement-lapsed");
+        running.values()
+                .forEach(request -> lostCalls.add(new LostCall(request, clock.getAsLong())));
+        confirmCrash("announcement-lapsed");
     }
 
-    private void onGone(String sign) {
-        if (leaving || lost.isEmpty()) {
+    private void confirmCrash(String evidence) {
+        if (leaving || lostCalls.isEmpty()) {
             return;
         }
-        List<RequestFingerprint> inFlight = lost.stream().map(Lost::request).distinct().toList();
-        lost.clear();
+        List<RequestFingerprint> inFlight =
+                lostCalls.stream().map(LostCall::request).distinct().toList();
+        lostCalls.clear();
         logger.atWarning().log(
                 "event=upstream-crashed step=hand-over peer=upstream sign=%s in_flight=%d",
-                sign, inFlight.size());
+                evidence, inFlight.size());
         quarantine
                 .onCrash(self, incarnation, inFlight, clock.getAsLong())
-                .forEach(record -> spread.accept(record.toMessage()));
+                .forEach(record -> broadcast.accept(record.toMessage()));
     }
 
     private static RequestFingerprint fingerprint(Call call) {
--- a/node/src/main/java/org/damaskmoor/node/internal/target/HttpUpstreamClient.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/target/HttpUpstreamClient.java
@@ -24,20 +24,20 @@
 /**
  * Sends calls to the upstream over HTTP with the ActiveJ client.
  *
- * <p>Each call has a connection of its own: the client would give an answer that came late or twice
- * on a kept connection to the next call.
+ * <p>Each call has its own connection: on a kept-alive connection the client would take a late or
+ * duplicate response for that of the next call.
  *
  * <p>Confined to the upstream event loop. Invariants: a call is written to one connection at most;
- * it is never repeated here; an interim answer is never taken for the final one.
+ * it is never retried here; an interim response is never taken for the final one.
  */
 final class HttpUpstreamClient implements UpstreamClient {
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
     private static final Duration READ_WRITE_TIMEOUT = Duration.ofMinutes(10);
     private static final int SERVICE_UNAVAILABLE = 503;
-    private static final int LEAST_FINAL_STATUS = 200;
+    private static final int FIRST_FINAL_STATUS = 200;
 
-    /** Settled by this node; what the caller sent under these names is not passed on. */
-    private static final List<String> OWN_FIELDS =
+    /** Headers under the control of this node; the caller's values are not forwarded. */
+    private static final List<String> RESERVED_HEADERS =
             List.of(
                     "Damaskmoor-Request-Id",
                     "Damaskmoor-Deadline-Ms",
@@ -69,7 +69,7 @@
             Call call,
             long remainingMilliseconds,
             Consumer<UpstreamOutcome> whenDone) {
-        OneOutcome outcome = new OneOutcome(whenDone);
+        FirstOutcome outcome = new FirstOutcome(whenDone);
         HttpRequest request;
         try {
             request = request(upstream, call, remainingMilliseconds);
@@ -77,9 +77,9 @@
             outcome.accept(new UpstreamOutcome.NotRun(false, false));
             return;
         }
-        outcome.limit(loop.delay(remainingMilliseconds, outcome::expire));
+        outcome.setDeadlineTimer(loop.delay(remainingMilliseconds, outcome::expire));
         client.request(request)
-                .then(response -> readWhole(call, response))
+                .then(response -> readResponse(call, response))
                 .whenResult(outcome::accept)
                 .whenException(exception -> outcome.accept(failure(request, exception)));
     }
@@ -91,8 +91,8 @@
         return new UpstreamOutcome.Failed(String.valueOf(exception), true);
     }
 
-    /** The library takes the length in an answer to HEAD for that of a body, which never comes. */
-    private Promise<UpstreamOutcome> readWhole(Call call, HttpResponse response) {
+    /** For HEAD the client would wait for a body of the declared length, which never comes. */
+    private Promise<UpstreamOutcome> readResponse(Call call, HttpResponse response) {
         if (call.getMethod().equals("HEAD")) {
             UpstreamOutcome outcome = outcome(response, ByteBuf.empty());
             response.takeBodyStream().close();
@@ -102,14 +102,14 @@
     }
 
     private static UpstreamOutcome outcome(HttpResponse response, ByteBuf body) {
-        if (response.getCode() < LEAST_FINAL_STATUS) {
+        if (response.getCode() < FIRST_FINAL_STATUS) {
             String detail = "interim answer " + response.getCode() + " in place of the final one";
             return new UpstreamOutcome.Failed(detail, true);
         }
         if (isNotRun(response)) {
-            boolean below =
+            boolean refusedBelow =
                     response.getHeader(HttpHeaders.of(OutcomeReplies.REFUSED_BELOW_FIELD)) != null;
-            return new UpstreamOutcome.NotRun(false, below);
+            return new UpstreamOutcome.NotRun(false, refusedBelow);
         }
         return new UpstreamOutcome.Answered(
                 CallAnswer.newBuilder()
@@ -130,8 +130,9 @@
         HttpRequest.Builder request =
                 HttpRequest.builder(HttpMethod.valueOf(call.getMethod()), url);
         for (HeaderField field : call.getHeadersList()) {
-            boolean own = OWN_FIELDS.stream().anyMatch(field.getName()::equalsIgnoreCase);
-            if (!own && !field.getName().equalsIgnoreCase("Host")) {
+            boolean reserved =
+                    RESERVED_HEADERS.stream().anyMatch(field.getName()::equalsIgnoreCase);
+            if (!reserved && !field.getName().equalsIgnoreCase("Host")) {
                 request.withHeader(HttpHeaders.of(field.getName()), field.getValue());
             }
         }
@@ -155,17 +156,17 @@
     }
 
     /** Passes on the first outcome only. */
-    private static final class OneOutcome {
+    private static final class FirstOutcome {
         private final Consumer<UpstreamOutcome> whenDone;
-        private ScheduledRunnable limit;
+        private ScheduledRunnable deadlineTimer;
         private boolean done;
 
-        OneOutcome(Consumer<UpstreamOutcome> whenDone) {
+        FirstOutcome(Consumer<UpstreamOutcome> whenDone) {
             this.whenDone = whenDone;
         }
 
-        void limit(ScheduledRunnable timer) {
-            limit = timer;
+        void setDeadlineTimer(ScheduledRunnable timer) {
+            deadlineTimer = timer;
         }
 
         void expire() {
@@ -175,8 +176,8 @@
         void accept(UpstreamOutcome outcome) {
             if (!done) {
                 done = true;
-                if (limit != null && limit.isActive()) {
-                    limit.cancel();
+                if (deadlineTimer != null && deadlineTimer.isActive()) {
+                    deadlineTimer.cancel();
                 }
                 whenDone.accept(outcome);
             }
--- a/node/src/main/java/org/damaskmoor/node/internal/target/OpenCall.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/target/OpenCall.java
@@ -9,12 +9,12 @@
 /**
  * A call that was accepted and has not ended. Immutable and thread-safe.
  *
- * @param id the request
- * @param call what to run
- * @param deadlineNanoseconds when its answer is of no use any more
+ * @param id the request id
+ * @param call the call
+ * @param deadlineNanoseconds when its answer is no longer of use, on the monotonic clock
  */
 record OpenCall(RequestId id, Call call, long deadlineNanoseconds) {
-    AdmissionRequest admission() {
+    AdmissionRequest toAdmissionRequest() {
         return new AdmissionRequest(
                 id,
                 new CallerName(call.getCaller()),
--- a/node/src/main/java/org/damaskmoor/node/internal/target/PendingReplies.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/target/PendingReplies.java
@@ -14,71 +14,86 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * The entry nodes that wait for the outcome of calls, and what they are told.
+ * The entry nodes that wait for the outcomes of calls; sends them their replies.
  *
- * <p>Confined to the upstream event loop. Invariant: each is told over the connection on which it
- * was heard of last; an outcome that can't be sent is asked for again by the entry node.
+ * <p>Confined to the upstream event loop. Invariant: each reply goes over the connection on which
+ * the entry node's last message about the call arrived; an entry node asks again for a reply that
+ * can't be sent.
  */
 final class PendingReplies {
-    private final Function<NodeId, LoadReport> load;
-    private final Map<RequestId, PendingReply> waiting = new HashMap<>();
+    private final Function<NodeId, LoadReport> loadReport;
+    private final Map<RequestId, PendingReply> pendingByRequest = new HashMap<>();
 
-    /** Tells waiters the outcomes, each with the report that its node gets. */
-    PendingReplies(Function<NodeId, LoadReport> load) {
-        this.load = load;
+    /**
+     * Creates an empty set.
+     *
+     * @param loadReport returns the load report to send to a node
+     */
+    PendingReplies(Function<NodeId, LoadReport> loadReport) {
+        this.loadReport = loadReport;
     }
 
-    /** Remembers who waits, in place of what was known before. */
-    void add(PendingReply waiter) {
-        waiting.put(waiter.id(), waiter);
+    /** Adds a pending reply, in place of an earlier one for the same request. */
+    void add(PendingReply pending) {
+        pendingByRequest.put(pending.id(), pending);
     }
 
     void remove(RequestId id) {
-        waiting.remove(id);
+        pendingByRequest.remove(id);
     }
 
     void completeWithAnswer(RequestId id, CallAnswer answer) {
-        PendingReply waiter = waiting.remove(id);
-        if (waiter != null) {
-            waiter.link()
-                    .send(TargetFrames.answer(waiter, answer, load.apply(waiter.link().peer())));
+        PendingReply pending = pendingByRequest.remove(id);
+        if (pending != null) {
+            pending.link()
+                    .send(
+                            TargetFrames.answer(
+                                    pending, answer, loadReport.apply(pending.link().peer())));
         }
     }
 
     void completeWithRefusal(RequestId id, CallRefusal refusal) {
-        PendingReply waiter = waiting.remove(id);
-        if (waiter != null) {
-            sendRefusal(waiter, refusal);
+        PendingReply pending = pendingByRequest.remove(id);
+        if (pending != null) {
+            sendRefusal(pending, refusal);
         }
     }
 
     void completeWithFailure(RequestId id, String detail) {
-        PendingReply waiter = waiting.remove(id);
-        if (waiter != null) {
-            sendFailure(waiter, detail);
+        PendingReply pending = pendingByRequest.remove(id);
+        if (pending != null) {
+            sendFailure(pending, detail);
         }
     }
 
-    void sendRefusal(PendingReply waiter, CallRefusal refusal) {
-        waiter.link().send(TargetFrames.refused(waiter, refusal, load.apply(waiter.link().peer())));
+    void sendRefusal(PendingReply pending, CallRefusal refusal) {
+        pending.link()
+                .send(
+                        TargetFrames.refused(
+                                pending, refusal, loadReport.apply(pending.link().peer())));
     }
 
-    /** Sends an outcome that is known already. */
-    void sendOutcome(PendingReply waiter, CallState state, Optional<ByteString> answer) {
+    /** Sends the outcome of a call that has already ended. */
+    void sendOutcome(PendingReply pending, CallState state, Optional<ByteString> answer) {
         boolean kept = answer.isPresent() && !answer.get().isEmpty();
         if (state.isNotRun()) {
-            sendRefusal(waiter, CallRefusal.of(RefusalReason.SEALED_AFTER_SILENCE));
+            sendRefusal(pending, CallRefusal.of(RefusalReason.SEALED_AFTER_SILENCE));
         } else if (state == CallState.ANSWERED && kept) {
             CallAnswer parsed = parse(answer.get());
-            waiter.link()
-                    .send(TargetFrames.answer(waiter, parsed, load.apply(waiter.link().peer())));
+            pending.link()
+                    .send(
+                            TargetFrames.answer(
+                                    pending, parsed, loadReport.apply(pending.link().peer())));
         } else {
-            sendFailure(waiter, "its answer is no longer kept");
+            sendFailure(pending, "its answer is no longer kept");
         }
     }
 
-    private void sendFailure(PendingReply waiter, String detail) {
-        waiter.link().send(TargetFrames.failed(waiter, detail, load.apply(waiter.link().peer())));
+    private void sendFailure(PendingReply pending, String detail) {
+        pending.link()
+                .send(
+                        TargetFrames.failed(
+                                pending, detail, loadReport.apply(pending.link().peer())));
     }
 
     private static CallAnswer parse(ByteString kept) {
--- a/node/src/main/java/org/damaskmoor/node/internal/target/PendingReply.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/target/PendingReply.java
@@ -4,10 +4,10 @@
 import org.damaskmoor.mesh.MeshLink;
 
 /**
- * Who waits for the outcome of a call, and over which connection. Immutable and thread-safe.
+ * An entry node that waits for the outcome of a call. Immutable and thread-safe.
  *
- * @param id the request
- * @param attempt the attempt that was heard of last
- * @param link the connection over which it was heard of
+ * @param id the request id
+ * @param attempt the attempt named in its last message about the call
+ * @param link the connection on which that message arrived
  */
 record PendingReply(RequestId id, int attempt, MeshLink link) {}
--- a/node/src/main/java/org/damaskmoor/node/internal/target/TargetDispatcher.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/target/TargetDispatcher.java
@@ -35,12 +35,13 @@
 import org.damaskmoor.schema.mesh.SealState;
 
 /**
- * Takes calls from entry nodes at the target, decides on each with the load of this instant, and
- * hands it to the upstream.
+ * Handles calls from entry nodes at the target: admits or refuses each by the current load, and
+ * hands admitted calls over to the upstream.
  *
- * <p>Confined to the upstream event loop. Invariants: each call that is not a duplicate ends in one
- * of answer, refusal and failure; a refused call was not handed over; all who wait for a call get
- * its outcome over the connection on which they were heard of last.
+ * <p>Confined to the upstream event loop. Invariants: each call that is not a duplicate ends in
+ * exactly one of answer, refusal and failure; a refused call was not handed over; each entry node
+ * that waits for a call gets the outcome over the connection on which its last message about the
+ * call arrived.
  */
 public final class TargetDispatcher {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -52,10 +53,10 @@
     private final UpstreamRegistration upstream;
     private final UpstreamClient client;
     private final ClaimTracker claims;
-    private final CrashDetector crashes;
+    private final CrashDetector crashDetector;
     private final TargetTiming timing;
-    private final Map<RequestId, OpenCall> open = new HashMap<>();
-    private final PendingReplies waiters;
+    private final Map<RequestId, OpenCall> openCalls = new HashMap<>();
+    private final PendingReplies pendingReplies;
 
     TargetDispatcher(
             TargetLedger ledger,
@@ -63,7 +64,7 @@
             UpstreamRegistration upstream,
             UpstreamClient client,
             ClaimService claims,
-            CrashDetector crashes,
+            CrashDetector crashDetector,
             TargetTiming timing,
             BiFunction<NodeId, LoadReport, LoadReport> reports) {
         this.ledger = ledger;
@@ -71,42 +72,47 @@
         this.upstream = upstream;
         this.client = client;
         this.claims = new ClaimTracker(claims);
-        this.crashes = crashes;
+        this.crashDetector = crashDetector;
         this.timing = timing;
-        this.waiters =
+        this.pendingReplies =
                 new PendingReplies(peer -> reports.apply(peer, admission.loadReport(timing.now())));
     }
 
-    /** Takes a frame from an entry node. */
+    /** Handles a frame from an entry node. */
     public void onFrame(MeshLink link, MeshFrame frame) {
         switch (frame.getBodyCase()) {
             case CALL -> onCall(link, frame.getCall());
             case SEAL -> onSeal(link, frame.getSeal());
             case CANCEL -> onCancel(frame.getCancel());
-            default -> throw new IllegalArgumentException("unexpected " + frame.getBodyCase());
+            default ->
+                    throw new IllegalArgumentException(
+                            "not a frame for a target: " + frame.getBodyCase());
         }
     }
 
-    /** Hands over what may run now and refuses what waited in vain. Call every few milliseconds. */
+    /**
+     * Hands over queued calls that may run now and refuses those that waited too long. Call every
+     * few milliseconds.
+     */
     public void tick() {
-        handOverNext();
+        handOverAdmitted();
         ledger.expire(timing.now());
     }
 
-    private void handOverNext() {
-        DequeuedRequests next = admission.dequeue(timing.now());
-        next.refused().forEach(this::refuseAdmission);
-        next.admitted().forEach(admitted -> handOver(admitted.id()));
+    private void handOverAdmitted() {
+        DequeuedRequests dequeued = admission.dequeue(timing.now());
+        dequeued.refused().forEach(this::refuseAdmission);
+        dequeued.admitted().forEach(admitted -> handOver(admitted.id()));
     }
 
-    /** Whether nothing waits and nothing runs. */
+    /** Whether no call is queued or running. */
     public boolean isIdle() {
-        return open.isEmpty();
+        return openCalls.isEmpty();
     }
 
     private void onCall(MeshLink link, Call call) {
         RequestId id = TargetFrames.requestId(call.getRequestId());
-        PendingReply waiter = new PendingReply(id, call.getAttempt(), link);
+        PendingReply pending = new PendingReply(id, call.getAttempt(), link);
         long deadline = timing.deadline(call);
         Acceptance acceptance =
                 ledger.accept(
@@ -116,16 +122,21 @@
                         timing.retainUntil(call),
                         timing.now());
         switch (acceptance.result()) {
-            case ACCEPTED -> onNew(waiter, call, deadline);
-            case DUPLICATE, JOINED -> onKnown(waiter, acceptance);
-            case SEALED_ALREADY -> link.send(TargetFrames.sealed(waiter, SealState.SEALED));
+            case ACCEPTED -> onNewCall(pending, call, deadline);
+            case DUPLICATE, JOINED -> onDuplicate(pending, acceptance);
+            case SEALED_ALREADY -> link.send(TargetFrames.sealed(pending, SealState.SEALED));
             case WRONG_INCARNATION ->
-                    waiters.sendRefusal(waiter, CallRefusal.of(RefusalReason.STALE_INCARNATION));
-            case FULL -> waiters.sendRefusal(waiter, CallRefusal.of(RefusalReason.NODE_BUSY));
+                    pendingReplies.sendRefusal(
+                            pending, CallRefusal.of(RefusalReason.STALE_INCARNATION));
+            case FULL ->
+                    pendingReplies.sendRefusal(pending, CallRefusal.of(RefusalReason.NODE_BUSY));
             case TOO_LATE -> logger.atInfo().log("event=call-too-late request=%s", id);
             case DEADLINE_PASSED ->
-                    waiters.sendRefusal(waiter, CallRefusal.of(RefusalReason.DEADLINE_PASSED));
-            default -> throw new IllegalStateException("unexpected " + acceptance.result());
+                    pendingReplies.sendRefusal(
+                            pending, CallRefusal.of(RefusalReason.DEADLINE_PASSED));
+            default ->
+                    throw new IllegalStateException(
+                            "unhandled acceptance result " + acceptance.result());
         }
     }
 
@@ -142,62 +153,62 @@
                                 call.getIdempotencyKey())));
     }
 
-    private void onNew(PendingReply waiter, Call call, long deadline) {
-        RequestId id = waiter.id();
-        OpenCall opened = new OpenCall(id, call, deadline);
-        open.put(id, opened);
-        waiters.add(waiter);
-        waiter.link().send(TargetFrames.accepted(waiter));
-        Optional<CallRefusal> quarantined = crashes.quarantineRefusal(call);
+    private void onNewCall(PendingReply pending, Call call, long deadline) {
+        RequestId id = pending.id();
+        OpenCall openCall = new OpenCall(id, call, deadline);
+        openCalls.put(id, openCall);
+        pendingReplies.add(pending);
+        pending.link().send(TargetFrames.accepted(pending));
+        Optional<CallRefusal> quarantined = crashDetector.quarantineRefusal(call);
         if (!upstream.serves(call.getService())) {
             refuse(id, CallRefusal.of(RefusalReason.UPSTREAM_UNREACHABLE));
         } else if (quarantined.isPresent()) {
             refuse(id, quarantined.get());
         } else if (ClaimTracker.requiresClaim(call)) {
-            claims.claim(opened, claim -> onClaim(id, claim));
+            claims.claim(openCall, claim -> onClaim(id, claim));
         } else {
-            offer(id);
+            offerForAdmission(id);
         }
     }
 
-    private void onClaim(RequestId id, ClaimService.Claim claim) {
+    private void onClaim(RequestId id, ClaimService.ClaimResult claim) {
         switch (claim) {
-            case GRANTED -> offer(id);
-            case TAKEN -> onTaken(id);
+            case GRANTED -> offerForAdmission(id);
+            case TAKEN -> onKeyTaken(id);
             case UNAVAILABLE -> refuse(id, CallRefusal.of(RefusalReason.CLAIM_UNAVAILABLE));
-            default -> throw new IllegalStateException("unexpected " + claim);
+            default -> throw new IllegalStateException("unhandled claim result " + claim);
         }
     }
 
     /**
      * An earlier request with the same key may have run. "Not run" would be true of this request,
-     * but a caller that resends asks about the earlier one: so it is told "unknown".
+     * but a caller that resends asks about the earlier one, so the reply is "unknown".
      */
-    private void onTaken(RequestId id) {
+    private void onKeyTaken(RequestId id) {
         if (ledger.handOver(id, timing.now()) == HandOverResult.RUN) {
-            fail(id, "an earlier request with this key may have run; ask the service");
+            replyUnknown(id, "an earlier request with this key may have run; ask the service");
         } else {
-            tell(id, CallRefusal.of(RefusalReason.DEADLINE_PASSED));
+            replyRefused(id, CallRefusal.of(RefusalReason.DEADLINE_PASSED));
         }
     }
 
-    private void offer(RequestId id) {
-        OpenCall call = open.get(id);
+    private void offerForAdmission(RequestId id) {
+        OpenCall call = openCalls.get(id);
         if (call == null) {
             return;
         }
-        AdmissionDecision offer = admission.offer(call.admission(), timing.now());
-        if (offer instanceof AdmissionDecision.Admitted) {
+        AdmissionDecision decision = admission.offer(call.toAdmissionRequest(), timing.now());
+        if (decision instanceof AdmissionDecision.Admitted) {
             handOver(id);
-        } else if (offer instanceof AdmissionDecision.Queued queued) {
+        } else if (decision instanceof AdmissionDecision.Queued queued) {
             queued.displaced().forEach(this::refuseAdmission);
-        } else if (offer instanceof AdmissionDecision.Refused refused) {
+        } else if (decision instanceof AdmissionDecision.Refused refused) {
             refuseAdmission(refused.refusal());
         }
     }
 
     private void handOver(RequestId id) {
-        OpenCall call = open.get(id);
+        OpenCall call = openCalls.get(id);
         HandOverResult result = ledger.handOver(id, timing.now());
         if (call != null && result == HandOverResult.RUN) {
             run(call);
@@ -205,9 +216,9 @@
         }
         finishAdmission(id, timing.now(), AdmissionOutcome.CANCELLED);
         if (result == HandOverResult.DEADLINE_PASSED) {
-            tell(id, CallRefusal.of(RefusalReason.DEADLINE_PASSED));
+            replyRefused(id, CallRefusal.of(RefusalReason.DEADLINE_PASSED));
         }
-        forget(id);
+        discard(id);
     }
 
     private void run(OpenCall call) {
@@ -217,7 +228,7 @@
             onOutcome(call, started, new UpstreamOutcome.NotRun(true, false));
             return;
         }
-        crashes.onHandOver(call.id(), call.call());
+        crashDetector.onHandOver(call.id(), call.call());
         client.send(
                 address.get(),
                 call.call(),
@@ -226,7 +237,7 @@
     }
 
     private void onOutcome(OpenCall call, long started, UpstreamOutcome outcome) {
-        crashes.onOutcome(call.id(), outcome);
+        crashDetector.onOutcome(call.id(), outcome);
         if (outcome instanceof UpstreamOutcome.Answered answered) {
             onAnswered(call, started, answered.answer());
         } else if (outcome instanceof UpstreamOutcome.NotRun notRun) {
@@ -234,7 +245,7 @@
         } else if (outcome instanceof UpstreamOutcome.Failed failed) {
             onFailed(call.id(), started, failed);
         }
-        handOverNext();
+        handOverAdmitted();
     }
 
     private void onAnswered(OpenCall call, long started, CallAnswer answer) {
@@ -242,14 +253,15 @@
         boolean serverError = answer.getStatus() >= FIRST_SERVER_ERROR;
         finishAdmission(
                 id, started, serverError ? AdmissionOutcome.FAILED : AdmissionOutcome.ANSWERED);
-        boolean kept = call.call().getNonIdempotent();
-        ledger.answered(id, kept ? answer.toByteString() : ByteString.EMPTY);
+        boolean keepAnswer = call.call().getNonIdempotent();
+        ledger.answered(id, keepAnswer ? answer.toByteString() : ByteString.EMPTY);
         long microseconds = TimeUnit.NANOSECONDS.toMicros(timing.now() - started);
-        CallAnswer timed = answer.toBuilder().setUpstreamMicroseconds((int) microseconds).build();
+        CallAnswer answerWithDuration =
+                answer.toBuilder().setUpstreamMicroseconds((int) microseconds).build();
         for (RequestId sharing : ledger.requestsSharingRun(id)) {
-            waiters.completeWithAnswer(sharing, timed);
+            pendingReplies.completeWithAnswer(sharing, answerWithDuration);
         }
-        open.remove(id);
+        openCalls.remove(id);
         claims.onMayHaveRun(id);
     }
 
@@ -271,16 +283,18 @@
         logger.atWarning().log(
                 "event=upstream-failed step=hand-over peer=upstream request=%s detail=%s",
                 id, failed.detail());
-        fail(id, failed.detail());
+        replyUnknown(id, failed.detail());
     }
 
-    /** Tells all who wait for the call that it is unknown whether it ran. */
-    private void fail(RequestId id, String detail) {
+    /**
+     * Replies to every entry node that waits for the call that it is unknown whether the call ran.
+     */
+    private void replyUnknown(RequestId id, String detail) {
         ledger.failed(id);
         for (RequestId sharing : ledger.requestsSharingRun(id)) {
-            waiters.completeWithFailure(sharing, detail);
+            pendingReplies.completeWithFailure(sharing, detail);
         }
-        open.remove(id);
+        openCalls.remove(id);
         claims.onMayHaveRun(id);
     }
 
@@ -297,50 +311,54 @@
 
     private void refuse(RequestId id, CallRefusal refusal) {
         if (ledger.refuse(id)) {
-            tell(id, refusal);
+            replyRefused(id, refusal);
         } else {
-            forget(id);
+            discard(id);
         }
     }
 
-    /** Tells all who wait for the call that it did not run. */
-    private void tell(RequestId id, CallRefusal refusal) {
+    /** Replies to every entry node that waits for the call that it did not run. */
+    private void replyRefused(RequestId id, CallRefusal refusal) {
         for (RequestId sharing : ledger.requestsSharingRun(id)) {
-            waiters.completeWithRefusal(sharing, refusal);
+            pendingReplies.completeWithRefusal(sharing, refusal);
         }
-        close(id);
+        closeWithoutRun(id);
     }
 
-    private void onKnown(PendingReply waiter, Acceptance acceptance) {
+    private void onDuplicate(PendingReply pending, Acceptance acceptance) {
         if (acceptance.state().isFinal()) {
-            waiters.sendOutcome(waiter, acceptance.state(), acceptance.answer());
+            pendingReplies.sendOutcome(pending, acceptance.state(), acceptance.answer());
         } else {
-            waiters.add(waiter);
-            waiter.link().send(TargetFrames.accepted(waiter));
+            pendingReplies.add(pending);
+            pending.link().send(TargetFrames.accepted(pending));
         }
     }
 
     private void onSeal(MeshLink link, SealRequest seal) {
         RequestId id = TargetFrames.requestId(seal.getRequestId());
-        PendingReply waiter = new PendingReply(id, seal.getAttempt(), link);
-        Incarnation meantFor = new Incarnation(Math.max(1, seal.getTargetIncarnation()));
-        SealState state = ledger.seal(id, meantFor, timing.retainUntil(seal), timing.now());
-        link.send(TargetFrames.sealed(waiter, state));
+        PendingReply pending = new PendingReply(id, seal.getAttempt(), link);
+        Incarnation intendedIncarnation = new Incarnation(Math.max(1, seal.getTargetIncarnation()));
+        SealState state =
+                ledger.seal(id, intendedIncarnation, timing.retainUntil(seal), timing.now());
+        link.send(TargetFrames.sealed(pending, state));
         if (state == SealState.SEALED) {
             admission.cancel(id);
-            forget(id);
+            discard(id);
         } else if (state != SealState.OTHER_INCARNATION) {
-            followUp(waiter);
+            replyAfterSeal(pending);
         }
     }
 
-    /** The call was handed over: its outcome goes over the connection of the seal request. */
-    private void followUp(PendingReply waiter) {
-        CallState state = ledger.state(waiter.id()).orElse(CallState.FAILED);
+    /**
+     * Sends the outcome of a call that was handed over before the seal, on the connection of the
+     * seal request.
+     */
+    private void replyAfterSeal(PendingReply pending) {
+        CallState state = ledger.state(pending.id()).orElse(CallState.FAILED);
         if (state.isFinal()) {
-            waiters.sendOutcome(waiter, state, ledger.answer(waiter.id()));
+            pendingReplies.sendOutcome(pending, state, ledger.answer(pending.id()));
         } else {
-            waiters.add(waiter);
+            pendingReplies.add(pending);
         }
     }
 
@@ -348,20 +366,20 @@
         RequestId id = TargetFrames.requestId(cancel.getRequestId());
         if (ledger.cancel(id) == CancelResult.DROPPED) {
             admission.cancel(id);
-            forget(id);
+            discard(id);
         }
     }
 
-    private void forget(RequestId id) {
-        close(id);
-        waiters.remove(id);
+    private void discard(RequestId id) {
+        closeWithoutRun(id);
+        pendingReplies.remove(id);
     }
 
-    /** The call ended and did not run. */
-    private void close(RequestId id) {
-        OpenCall closed = open.remove(id);
-        if (closed != null) {
-            claims.onNotRun(closed);
+    /** Ends a call that did not run. */
+    private void closeWithoutRun(RequestId id) {
+        OpenCall endedCall = openCalls.remove(id);
+        if (endedCall != null) {
+            claims.onNotRun(endedCall);
         }
     }
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/target/TargetFrames.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/target/TargetFrames.java
@@ -12,35 +12,35 @@
 import org.damaskmoor.schema.mesh.SealResult;
 import org.damaskmoor.schema.mesh.SealState;
 
-/** Makes the frames that a target sends about a call. Stateless and thread-safe. */
+/** Builds the frames that a target sends about a call. Stateless and thread-safe. */
 final class TargetFrames {
     private TargetFrames() {}
 
-    static MeshFrame accepted(PendingReply waiter) {
+    static MeshFrame accepted(PendingReply pending) {
         return MeshFrame.newBuilder()
                 .setAccepted(
                         CallAccepted.newBuilder()
-                                .setRequestId(message(waiter.id()))
-                                .setAttempt(waiter.attempt()))
+                                .setRequestId(toMessage(pending.id()))
+                                .setAttempt(pending.attempt()))
                 .build();
     }
 
-    static MeshFrame answer(PendingReply waiter, CallAnswer answer, LoadReport load) {
+    static MeshFrame answer(PendingReply pending, CallAnswer answer, LoadReport load) {
         return MeshFrame.newBuilder()
                 .setAnswer(
                         answer.toBuilder()
-                                .setRequestId(message(waiter.id()))
-                                .setAttempt(waiter.attempt())
+                                .setRequestId(toMessage(pending.id()))
+                                .setAttempt(pending.attempt())
                                 .setLoad(load))
                 .build();
     }
 
-    static MeshFrame refused(PendingReply waiter, CallRefusal refusal, LoadReport load) {
+    static MeshFrame refused(PendingReply pending, CallRefusal refusal, LoadReport load) {
         return MeshFrame.newBuilder()
                 .setRefused(
                         CallRefused.newBuilder()
-                                .setRequestId(message(waiter.id()))
-                                .setAttempt(waiter.attempt())
+                                .setRequestId(toMessage(pending.id()))
+                                .setAttempt(pending.attempt())
                                 .setReason(refusal.reason())
                                 .setRetryAfterMilliseconds(refusal.retryAfterMilliseconds())
                                 .setRefusedBelow(refusal.refusedBelow())
@@ -48,24 +48,24 @@
                 .build();
     }
 
-    static MeshFrame failed(PendingReply waiter, String detail, LoadReport load) {
+    static MeshFrame failed(PendingReply pending, String detail, LoadReport load) {
         return MeshFrame.newBuilder()
                 .setFailed(
                         CallFailed.newBuilder()
-                                .setRequestId(message(waiter.id()))
-                                .setAttempt(waiter.attempt())
+                                .setRequestId(toMessage(pending.id()))
+                                .setAttempt(pending.attempt())
                                 .setStep("upstream")
                                 .setDetail(detail)
                                 .setLoad(load))
                 .build();
     }
 
-    static MeshFrame sealed(PendingReply waiter, SealState state) {
+    static MeshFrame sealed(PendingReply pending, SealState state) {
         return MeshFrame.newBuilder()
                 .setSealed(
                         SealResult.newBuilder()
-                                .setRequestId(message(waiter.id()))
-                                .setAttempt(waiter.attempt())
+                                .setRequestId(toMessage(pending.id()))
+                                .setAttempt(pending.attempt())
                                 .setState(state))
                 .build();
     }
@@ -77,7 +77,7 @@
                 message.getSequence());
     }
 
-    private static org.damaskmoor.schema.mesh.RequestId message(RequestId id) {
+    private static org.damaskmoor.schema.mesh.RequestId toMessage(RequestId id) {
         return org.damaskmoor.schema.mesh.RequestId.newBuilder()
                 .setEntryNode(id.entryNode().value())
                 .setEntryIncarnation(id.entryIncarnation().value())
--- a/node/src/main/java/org/damaskmoor/node/internal/target/TargetProxy.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/target/TargetProxy.java
@@ -23,32 +23,33 @@
 import org.damaskmoor.schema.mesh.UpstreamState;
 
 /**
- * The target part of a node: the thread that decides on calls with the load of this instant.
+ * The target role of a node: admits calls by the current load on its own thread and hands them over
+ * to the upstream.
  *
- * <p>Thread-safe: everything is handed to the upstream event loop.
+ * <p>Thread-safe: methods post their work to the upstream event loop.
  */
 public final class TargetProxy {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final int RING_FRAMES = 16_384;
+    private static final int MAILBOX_CAPACITY_FRAMES = 16_384;
 
-    /** Pause between looks at what waits, while anything does. */
+    /** Interval between checks of the queued calls while any call is open. */
     private static final long BUSY_TICK_MILLISECONDS = 2;
 
-    /** Pause between looks at the announcement's lease and the ledger. */
+    /** Interval between checks of the announcement's lease and the ledger. */
     private static final long IDLE_TICK_MILLISECONDS = 50;
 
-    private static final int LEDGER_ENTRIES = 65_536;
-    private static final long LEDGER_ANSWER_BYTES = 8 * 1024 * 1024;
-    private static final int LEDGER_FENCES = 4_096;
+    private static final int MAXIMUM_LEDGER_ENTRIES = 65_536;
+    private static final long MAXIMUM_LEDGER_ANSWER_BYTES = 8 * 1024 * 1024;
+    private static final int MAXIMUM_LEDGER_FENCES = 4_096;
 
     private record Received(MeshLink link, MeshFrame frame) {}
 
     /**
-     * What other nodes are told of the upstream. Immutable and thread-safe.
+     * The status of the upstream as other nodes see it. Immutable and thread-safe.
      *
-     * @param service the service that it runs; empty when it never announced itself
+     * @param service the service that it runs; empty if it never announced itself
      * @param state its state
-     * @param capacity requests that it serves at once
+     * @param capacity number of requests that it serves concurrently
      */
     public record UpstreamStatus(
             Optional<ServiceName> service, UpstreamState state, int capacity) {}
@@ -61,7 +62,7 @@
     private final TargetDispatcher dispatcher;
     private final BoundedMailbox<Received> mailbox;
     private final Consumer<UpstreamStatus> onStatus;
-    private final CrashDetector crashes;
+    private final CrashDetector crashDetector;
     private volatile LoadReport lastLoad = LoadReport.getDefaultInstance();
     private volatile boolean draining;
     private boolean busyTickPending;
@@ -69,17 +70,17 @@
             new UpstreamStatus(Optional.empty(), UpstreamState.ABSENT, 0);
 
     /**
-     * Creates the duty and starts its ticks.
+     * Creates a target proxy and starts its ticks.
      *
      * @param loop the upstream event loop
-     * @param incarnation this start of the node
-     * @param limits bounds of this target
+     * @param incarnation this node's current incarnation
+     * @param limits limits of this target
      * @param clock the monotonic clock, in nanoseconds
      * @param epochMilliseconds the wall clock
      * @param claims claims idempotency keys
-     * @param crashes watches for crashes of the upstream
-     * @param reports the report that a node is sent, from the whole one
-     * @param onStatus told of each change of the upstream's state, on the upstream event loop
+     * @param crashDetector detects crashes of the upstream
+     * @param reportFilter returns the load report to send to a node, given the complete one
+     * @param onStatus notified of each change of the upstream's status, on the upstream event loop
      */
     public TargetProxy(
             EventLoopThread loop,
@@ -88,13 +89,13 @@
             LongSupplier clock,
             LongSupplier epochMilliseconds,
             ClaimService claims,
-            CrashDetector crashes,
-            BiFunction<NodeId, LoadReport, LoadReport> reports,
+            CrashDetector crashDetector,
+            BiFunction<NodeId, LoadReport, LoadReport> reportFilter,
             Consumer<UpstreamStatus> onStatus) {
         this.loop = loop;
         this.clock = clock;
         this.onStatus = onStatus;
-        this.crashes = crashes;
+        this.crashDetector = crashDetector;
         this.defaultQueueLimit = limits.queueLimit();
         this.registration = new UpstreamRegistration(limits.announcementLeaseMilliseconds());
         this.admission =
@@ -105,25 +106,29 @@
                         TargetLedger.bounded(
                                 incarnation,
                                 new LedgerLimits(
-                                        LEDGER_ENTRIES, LEDGER_ANSWER_BYTES, LEDGER_FENCES)),
+                                        MAXIMUM_LEDGER_ENTRIES,
+                                        MAXIMUM_LEDGER_ANSWER_BYTES,
+                                        MAXIMUM_LEDGER_FENCES)),
                         admission,
                         registration,
                         new HttpUpstreamClient(loop.eventLoop(), limits.maximumBodyBytes()),
                         claims,
-                        crashes,
+                        crashDetector,
                         new TargetTiming(
                                 clock, epochMilliseconds, limits.keyRetentionMilliseconds()),
-                        reports);
-        this.mailbox = new BoundedMailbox<>(RING_FRAMES, loop::execute, this::take, () -> {});
+                        reportFilter);
+        this.mailbox =
+                new BoundedMailbox<>(
+                        MAILBOX_CAPACITY_FRAMES, loop::execute, this::onReceived, () -> {});
         loop.every(IDLE_TICK_MILLISECONDS, this::tick);
     }
 
     /**
-     * Bounds of a target. Immutable and thread-safe.
+     * Limits of a target. Immutable and thread-safe.
      *
-     * @param queueLimit most requests that wait, unless the service says otherwise
-     * @param maximumBodyBytes longest body of an answer
-     * @param announcementLeaseMilliseconds how long an announcement holds
+     * @param queueLimit maximum number of queued calls, unless the service sets its own
+     * @param maximumBodyBytes maximum size of a response body
+     * @param announcementLeaseMilliseconds how long an announcement is valid
      * @param keyRetentionMilliseconds how long an idempotency key is remembered
      */
     public record TargetLimits(
@@ -132,21 +137,21 @@
             long announcementLeaseMilliseconds,
             long keyRetentionMilliseconds) {}
 
-    /** Takes a frame from an entry node; false when the ring is full. Any thread. */
+    /** Queues a frame from an entry node; returns false if the mailbox is full. Any thread. */
     public boolean offer(MeshLink link, MeshFrame frame) {
         return mailbox.offer(new Received(link, frame));
     }
 
-    /** The load of a few milliseconds ago. Any thread. */
+    /** The load at the last tick, a few milliseconds ago. Any thread. */
     public LoadReport lastLoad() {
         return lastLoad;
     }
 
-    /** The upstream announced itself. Any thread. */
+    /** Handles an announcement of the upstream. Any thread. */
     public void announce(Announcement announcement) {
         loop.execute(
                 () -> {
-                    crashes.onAnnounced(announcement.state());
+                    crashDetector.onAnnounced(announcement.state());
                     registration.announce(announcement, clock.getAsLong());
                     admission.onUpstreamState(
                             announcement.state(), announcement.slots(), announcement.connections());
@@ -154,12 +159,12 @@
                 });
     }
 
-    /** The configuration has changed. Any thread. */
+    /** Applies a changed configuration. Any thread. */
     public void onConfigurationChanged(ServiceMatcher services) {
         loop.execute(() -> configure(services));
     }
 
-    /** Takes no new calls from now on. Any thread. */
+    /** Stops accepting new calls. Any thread. */
     public void drain() {
         loop.execute(
                 () -> {
@@ -169,19 +174,19 @@
                 });
     }
 
-    /** Completes with whether nothing waits and nothing runs. Any thread. */
+    /** Completes with whether no call is queued or running. Any thread. */
     public CompletableFuture<Boolean> isIdle() {
         CompletableFuture<Boolean> idle = new CompletableFuture<>();
         loop.execute(() -> idle.complete(dispatcher.isIdle() && admission.isIdle()));
         return idle;
     }
 
-    private void take(Received received) {
+    private void onReceived(Received received) {
         dispatcher.onFrame(received.link(), received.frame());
-        tickSoonWhileBusy();
+        scheduleBusyTick();
     }
 
-    private void tickSoonWhileBusy() {
+    private void scheduleBusyTick() {
         if (!busyTickPending && !dispatcher.isIdle()) {
             busyTickPending = true;
             loop.timers().schedule(BUSY_TICK_MILLISECONDS, this::busyTick);
@@ -192,14 +197,14 @@
         busyTickPending = false;
         dispatcher.tick();
         lastLoad = admission.loadReport(clock.getAsLong());
-        tickSoonWhileBusy();
+        scheduleBusyTick();
     }
 
     private void tick() {
         long now = clock.getAsLong();
         if (registration.expire(now)) {
             logger.atWarning().log("event=upstream-absent step=announcement-lease peer=upstream");
-            crashes.onAnnouncementExpired();
+            crashDetector.onAnnouncementExpired();
             admission.onUpstreamState(UpstreamState.ABSENT, 0, 0);
             publishStatus();
         }
--- a/node/src/main/java/org/damaskmoor/node/internal/target/TargetTiming.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/target/TargetTiming.java
@@ -6,18 +6,19 @@
 import org.damaskmoor.schema.mesh.SealRequest;
 
 /**
- * The target's clocks, and how long calls are judged and kept.
+ * Converts the deadlines of calls to the target's clock, and decides how long calls may be accepted
+ * and must be remembered.
  *
- * <p>A call carries its deadline twice: as the time left when it was sent, by which it is queued,
- * and by the entry node's clock, by which a copy that comes late is told from one in time whatever
- * it went through on the way. The two clocks of this node are tied once, at its start, so that all
- * copies of a call are judged alike. Times are nanoseconds of this node's monotonic clock.
+ * <p>A call carries its deadline twice: as the time left when it was sent, which limits its time in
+ * the queue, and as a time on the entry node's clock, which tells a late copy from one in time no
+ * matter how long it was under way. This node relates its two clocks once, at its start, so that
+ * all copies of a call are treated alike. Times are nanoseconds of this node's monotonic clock.
  *
  * <p>Confined to the upstream event loop.
  */
 final class TargetTiming {
-    /** How far the clocks of two VMs may differ. */
-    private static final long CLOCK_SKEW_MILLISECONDS = 5_000;
+    /** Maximum difference between the clocks of two VMs. */
+    private static final long MAXIMUM_CLOCK_SKEW_MILLISECONDS = 5_000;
 
     private final LongSupplier clock;
     private final long epochStartNanoseconds;
@@ -42,29 +43,32 @@
         return clock.getAsLong();
     }
 
-    /** When the answer of a call is of no use any more. */
+    /** When the answer of a call is no longer of use. */
     long deadline(Call call) {
         return now() + TimeUnit.MILLISECONDS.toNanos(call.getDeadlineMilliseconds());
     }
 
     /** The time after which no copy of the call may be accepted. */
     long acceptUntil(Call call) {
-        return onOwnClock(call.getDeadlineEpochMilliseconds() + CLOCK_SKEW_MILLISECONDS);
+        return toMonotonic(call.getDeadlineEpochMilliseconds() + MAXIMUM_CLOCK_SKEW_MILLISECONDS);
     }
 
-    /** When the ledger may forget a call: no copy of it can be accepted any more. */
+    /** When the ledger may forget a call, because no copy of it can be accepted any more. */
     long retainUntil(Call call) {
-        long safe = onOwnClock(call.getDeadlineEpochMilliseconds() + 2 * CLOCK_SKEW_MILLISECONDS);
-        boolean keyed = call.getNonIdempotent() && !call.getIdempotencyKey().isEmpty();
-        return keyed ? safe + keyRetentionNanoseconds : safe;
+        long lastCopyExpired =
+                toMonotonic(
+                        call.getDeadlineEpochMilliseconds() + 2 * MAXIMUM_CLOCK_SKEW_MILLISECONDS);
+        boolean hasKey = call.getNonIdempotent() && !call.getIdempotencyKey().isEmpty();
+        return hasKey ? lastCopyExpired + keyRetentionNanoseconds : lastCopyExpired;
     }
 
     /** When the ledger may forget a tombstone. */
     long retainUntil(SealRequest seal) {
-        return onOwnClock(seal.getDeadlineEpochMilliseconds() + 2 * CLOCK_SKEW_MILLISECONDS);
+        return toMonotonic(
+                seal.getDeadlineEpochMilliseconds() + 2 * MAXIMUM_CLOCK_SKEW_MILLISECONDS);
     }
 
-    private long onOwnClock(long epoch) {
+    private long toMonotonic(long epoch) {
         return epochStartNanoseconds + TimeUnit.MILLISECONDS.toNanos(epoch);
     }
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/target/UpstreamAddress.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/target/UpstreamAddress.java
@@ -1,7 +1,7 @@
 package org.damaskmoor.node.internal.target;
 
 /**
- * Where the upstream listens. Immutable and thread-safe.
+ * The address on which the upstream listens. Immutable and thread-safe.
  *
  * @param host an IP address
  * @param port a TCP port
--- a/node/src/main/java/org/damaskmoor/node/internal/target/UpstreamClient.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/target/UpstreamClient.java
@@ -9,10 +9,10 @@
     /**
      * Sends a call.
      *
-     * @param upstream where to
-     * @param call what to send
-     * @param remainingMilliseconds longest time to wait for the whole answer
-     * @param whenDone gets the outcome once, on the upstream event loop
+     * @param upstream the upstream's address
+     * @param call the call
+     * @param remainingMilliseconds longest time to wait for the complete answer
+     * @param whenDone receives the outcome once, on the upstream event loop
      */
     void send(
             UpstreamAddress upstream,
--- a/node/src/main/java/org/damaskmoor/node/internal/target/UpstreamOutcome.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/target/UpstreamOutcome.java
@@ -2,28 +2,29 @@
 
 import org.damaskmoor.schema.mesh.CallAnswer;
 
-/** What came of a call that was handed to the upstream. Immutable and thread-safe. */
+/** The outcome of a call that was handed over to the upstream. Immutable and thread-safe. */
 sealed interface UpstreamOutcome {
     /**
-     * A whole answer.
+     * A complete answer.
      *
      * @param answer the answer, without request id and load
      */
     record Answered(CallAnswer answer) implements UpstreamOutcome {}
 
     /**
-     * The upstream truthfully did not run it.
+     * The call certainly did not run.
      *
-     * @param unreachable whether no connection could be opened, rather than an answer "not run"
-     * @param refusedBelow whether a node further down refused
+     * @param unreachable true if no connection could be opened, false if the upstream answered "not
+     *     run"
+     * @param refusedBelow whether a node further down the call chain refused
      */
     record NotRun(boolean unreachable, boolean refusedBelow) implements UpstreamOutcome {}
 
     /**
-     * No whole answer: it may have run.
+     * No complete answer; the call may have run.
      *
      * @param detail what happened
-     * @param connectionLost whether the connection ended, rather than the time
+     * @param connectionLost true if the connection was lost, false if the time ran out
      */
     record Failed(String detail, boolean connectionLost) implements UpstreamOutcome {}
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/target/UpstreamRegistration.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/target/UpstreamRegistration.java
@@ -5,7 +5,7 @@
 import org.damaskmoor.schema.mesh.UpstreamState;
 
 /**
- * What the upstream beside this node announced of itself, for as long as its lease runs.
+ * The latest announcement of the upstream beside this node, valid until its lease expires.
  *
  * <p>Confined to the upstream event loop.
  */
@@ -18,13 +18,13 @@
         this.leaseNanoseconds = TimeUnit.MILLISECONDS.toNanos(leaseMilliseconds);
     }
 
-    /** The upstream announced itself. */
+    /** Stores an announcement and renews its lease. */
     void announce(Announcement received, long nowNanoseconds) {
         announcement = received;
         renewedNanoseconds = nowNanoseconds;
     }
 
-    /** Forgets an announcement whose lease has run out. Returns whether it just did. */
+    /** Removes the announcement if its lease has expired; returns whether it did. */
     boolean expire(long nowNanoseconds) {
         boolean expired =
                 announcement != null && nowNanoseconds - renewedNanoseconds > leaseNanoseconds;
@@ -34,12 +34,12 @@
         return expired;
     }
 
-    /** The announcement in force. */
+    /** The valid announcement, if any. */
     Optional<Announcement> current() {
         return Optional.ofNullable(announcement);
     }
 
-    /** Where the upstream listens. */
+    /** The address on which the upstream listens, if there is a valid announcement. */
     Optional<UpstreamAddress> address() {
         return current().map(Announcement::address);
     }
@@ -49,7 +49,7 @@
         return announcement != null && announcement.service().value().equals(service);
     }
 
-    /** The state that other nodes are told. */
+    /** The state that is published to other nodes. */
     UpstreamState state() {
         return announcement == null ? UpstreamState.ABSENT : announcement.state();
     }
--- a/node/src/main/java/org/damaskmoor/node/internal/time/Timers.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/time/Timers.java
@@ -1,9 +1,9 @@
 package org.damaskmoor.node.internal.time;
 
 /**
- * Runs tasks later on the thread of a duty.
+ * Runs tasks later on an event loop.
  *
- * <p>Not thread-safe: used on that thread only.
+ * <p>Not thread-safe: use only on the thread of that loop.
  */
 @FunctionalInterface
 public interface Timers {
@@ -11,14 +11,14 @@
      * Runs the task after the delay, unless it is cancelled before.
      *
      * @param delayMilliseconds the delay, at least 0
-     * @return cancels the task; harmless after it ran
+     * @return cancels the task; has no effect after the task ran
      */
     Cancellation schedule(long delayMilliseconds, Runnable task);
 
     /** Cancels a task. */
     @FunctionalInterface
     interface Cancellation {
-        /** Cancels the task; harmless when it ran or was cancelled before. */
+        /** Cancels the task; has no effect if it ran or was cancelled before. */
         void cancel();
     }
 }
--- a/node/src/test/java/org/damaskmoor/node/GracefulShutdownTest.java
+++ b/node/src/test/java/org/damaskmoor/node/GracefulShutdownTest.java
@@ -28,64 +28,66 @@
     }
 
     @Test
-    void should_cut_off_no_request_when_every_node_is_replaced() throws Exception {
+    void should_complete_all_requests_when_every_node_is_replaced() throws Exception {
         // given
-        try (TestCluster group = new TestCluster(GracefulShutdownTest::serve, settings -> {})) {
-            List<TestCluster.Pair> old = new ArrayList<>();
+        try (TestCluster cluster = new TestCluster(GracefulShutdownTest::serve, settings -> {})) {
+            List<TestCluster.Pair> replaced = new ArrayList<>();
             for (int i = 1; i <= NODES; i++) {
-                old.add(group.addNode(i));
+                replaced.add(cluster.addNode(i));
             }
-            Load load = new Load();
-            old.forEach(pair -> load.entries.add(pair.node()));
+            LoadGenerator load = new LoadGenerator();
+            replaced.forEach(pair -> load.entries.add(pair.node()));
             load.start();
 
             // when
-            for (TestCluster.Pair pair : old) {
-                load.entries.add(group.addNode(NODES + 1).node());
+            for (TestCluster.Pair pair : replaced) {
+                load.entries.add(cluster.addNode(NODES + 1).node());
                 pair.stop();
                 load.entries.remove(pair.node());
             }
             load.stop();
 
             // then
-            assertThat(load.faults).isEmpty();
+            assertThat(load.failures).isEmpty();
             assertThat(load.answered.get()).isGreaterThan(0);
         }
     }
 
     @Test
-    void should_get_no_new_work_when_upstream_leaves() throws Exception {
+    void should_send_no_new_requests_when_upstream_leaves() throws Exception {
         // given
-        try (TestCluster group = new TestCluster(GracefulShutdownTest::serve, settings -> {})) {
-            TestCluster.Pair stays = group.addNode(1);
-            TestCluster.Pair leaves = group.addNode(2);
+        try (TestCluster cluster = new TestCluster(GracefulShutdownTest::serve, settings -> {})) {
+            TestCluster.Pair remaining = cluster.addNode(1);
+            TestCluster.Pair leaving = cluster.addNode(2);
 
             // when
-            leaves.upstream().announce("leaving");
-            int before = leaves.upstream().started.get();
+            leaving.upstream().announce("leaving");
+            int before = leaving.upstream().started.get();
             List<String> answers = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
-                answers.add(TestCluster.sendRequest(stays.node(), "POST /bookings"));
-                answers.add(TestCluster.sendRequest(leaves.node(), "POST /bookings"));
+                answers.add(TestCluster.sendRequest(remaining.node(), "POST /bookings"));
+                answers.add(TestCluster.sendRequest(leaving.node(), "POST /bookings"));
             }
 
             // then
             answers.forEach(answer -> assertThat(answer).endsWith("\r\n\r\ndone"));
-            assertThat(leaves.upstream().started.get()).isEqualTo(before);
+            assertThat(leaving.upstream().started.get()).isEqualTo(before);
         }
     }
 
-    /** Callers that keep a connection until told to close it, and go to the next entry then. */
-    private static final class Load {
+    /**
+     * Callers that reuse a connection until asked to close it, then connect to the next entry node.
+     */
+    private static final class LoadGenerator {
         final List<TestNode> entries = new CopyOnWriteArrayList<>();
-        final Queue<String> faults = new ConcurrentLinkedQueue<>();
+        final Queue<String> failures = new ConcurrentLinkedQueue<>();
         final AtomicInteger answered = new AtomicInteger();
         private final AtomicBoolean stopped = new AtomicBoolean();
         private final List<Thread> callers = new ArrayList<>();
 
         void start() {
             for (int i = 0; i < CALLERS; i++) {
-                Thread caller = new Thread(this::call, "caller-" + i);
+                Thread caller = new Thread(this::sendRequests, "caller-" + i);
                 callers.add(caller);
                 caller.start();
             }
@@ -98,17 +100,17 @@
             }
         }
 
-        private void call() {
-            int turn = 0;
+        private void sendRequests() {
+            int next = 0;
             while (!stopped.get()) {
-                TestNode entry = entries.get(turn++ % entries.size());
+                TestNode entry = entries.get(next++ % entries.size());
                 try (RawClient client = new RawClient(entry.port())) {
                     useConnection(client);
                 } catch (ConnectException notConnected) {
-                    // Nothing was sent: the caller goes to the next entry.
+                    // No request was sent: connect to the next entry node.
                     TestNode.pause();
                 } catch (IOException cutOff) {
-                    faults.add(cutOff.toString());
+                    failures.add(cutOff.toString());
                 }
             }
         }
@@ -121,7 +123,7 @@
                 if (answer.endsWith("\r\n\r\ndone")) {
                     answered.incrementAndGet();
                 } else {
-                    faults.add(answer);
+                    failures.add(answer);
                 }
                 open = !answer.contains("Connection: close");
             }
--- a/node/src/test/java/org/damaskmoor/node/InvalidRequestTest.java
+++ b/node/src/test/java/org/damaskmoor/node/InvalidRequestTest.java
@@ -19,7 +19,7 @@
 
 final class InvalidRequestTest {
     private static final String HOST = "Host: besuch.bern.example\r\n";
-    private static final int MORE = TestNode.MAXIMUM_BODY_BYTES + 1;
+    private static final int OVERSIZED = TestNode.MAXIMUM_BODY_BYTES + 1;
 
     private static TestNode node;
 
@@ -33,26 +33,26 @@
         node.close();
     }
 
-    private record Bad(String what, String request, int status, String reason) {
+    private record InvalidRequest(String description, String request, int status, String reason) {
         @Override
         public String toString() {
-            return what;
+            return description;
         }
     }
 
-    private static Bad malformed(String what, String request) {
-        return new Bad(what, request, 400, "malformed");
+    private static InvalidRequest malformed(String description, String request) {
+        return new InvalidRequest(description, request, 400, "malformed");
     }
 
-    private static Bad large(String what, String request, int status) {
-        return new Bad(what, request, status, "too-large");
+    private static InvalidRequest tooLarge(String description, String request, int status) {
+        return new InvalidRequest(description, request, status, "too-large");
     }
 
     private static String post(String fields, String body) {
         return "POST /visits HTTP/1.1\r\n" + HOST + fields + "\r\n" + body;
     }
 
-    static Stream<Bad> badRequests() {
+    static Stream<InvalidRequest> invalidRequests() {
         return Stream.of(
                 malformed("no HTTP", "\u0016\u0003\u0001 hello\r\n\r\n"),
                 malformed("unknown method", "JUMP / HTTP/1.1\r\n" + HOST + "\r\n"),
@@ -82,43 +82,53 @@
                 malformed(
                         "not gzip",
                         post("Content-Encoding: gzip\r\nContent-Length: 12\r\n", "no gzip body")),
-                large("long body", post("Content-Length: " + MORE + "\r\n", "a".repeat(MORE)), 413),
-                large("body announced long", post("Content-Length: " + MORE + "\r\n", ""), 413),
-                large(
+                tooLarge(
+                        "long body",
+                        post("Content-Length: " + OVERSIZED + "\r\n", "a".repeat(OVERSIZED)),
+                        413),
+                tooLarge(
+                        "body announced long",
+                        post("Content-Length: " + OVERSIZED + "\r\n", ""),
+                        413),
+                tooLarge(
                         "long chunks",
                         post(
                                 "Transfer-Encoding: chunked\r\n",
-                                Integer.toHexString(MORE) + "\r\n" + "a".repeat(MORE) + "\r\n"),
+                                Integer.toHexString(OVERSIZED)
+                                        + "\r\n"
+                                        + "a".repeat(OVERSIZED)
+                                        + "\r\n"),
                         413),
-                large(
+                tooLarge(
                         "long header",
                         "GET / HTTP/1.1\r\n" + HOST + "A: " + "a".repeat(70_000) + "\r\n\r\n",
                         431),
-                large("long target", "GET /" + "a".repeat(70_000) + " HTTP/1.1\r\n\r\n", 431),
-                large(
+                tooLarge("long target", "GET /" + "a".repeat(70_000) + " HTTP/1.1\r\n\r\n", 431),
+                tooLarge(
                         "many headers",
                         "GET / HTTP/1.1\r\n" + HOST + "A: b\r\n".repeat(1_000) + "\r\n",
                         431));
     }
 
     @ParameterizedTest
-    @MethodSource("badRequests")
-    void should_refuse_and_serve_on_when_input_is_bad(Bad bad) throws IOException {
+    @MethodSource("invalidRequests")
+    void should_refuse_and_keep_serving_when_request_is_invalid(InvalidRequest invalid)
+            throws IOException {
         // given
-        String counter = refusedBecause(bad.reason());
+        String counter = refusalCounter(invalid.reason());
         double before = node.metric(counter);
 
         // when
         String answer;
         try (RawClient client = new RawClient(node.port())) {
-            answer = client.send(bad.request()).endOutput().readAll();
+            answer = client.send(invalid.request()).endOutput().readAll();
         }
 
         // then
-        assertProblem(answer, bad.status(), bad.reason());
+        assertProblem(answer, invalid.status(), invalid.reason());
         assertThat(answer).contains("Connection: close");
         assertThat(node.metric(counter)).isEqualTo(before + 1);
-        assertServes();
+        assertAcceptsRequests();
     }
 
     @ParameterizedTest
@@ -145,13 +155,13 @@
                 "*",
                 "http://besuch.bern.example/visits/../routes"
             })
-    void should_refuse_when_path_has_more_than_one_reading(String target) throws IOException {
+    void should_refuse_when_path_is_ambiguous(String target) throws IOException {
         // when
-        String answer = ask("GET " + target + " HTTP/1.1\r\n" + HOST + "\r\n");
+        String answer = sendRequest("GET " + target + " HTTP/1.1\r\n" + HOST + "\r\n");
 
         // then
         assertProblem(answer, 400, "malformed");
-        assertServes();
+        assertAcceptsRequests();
     }
 
     @ParameterizedTest
@@ -163,7 +173,7 @@
                 "GET /visits HTTP/1.0\r\n\r\n",
                 "PUT / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"
             })
-    void should_answer_404_when_no_service_is_meant(String request) throws IOException {
+    void should_answer_404_when_no_service_matches(String request) throws IOException {
         // when
         String answer;
         try (RawClient client = new RawClient(node.port())) {
@@ -175,10 +185,10 @@
     }
 
     @Test
-    void should_not_take_the_rest_for_a_request_when_length_is_ambiguous() throws IOException {
+    void should_not_read_smuggled_request_when_length_is_ambiguous() throws IOException {
         // when
         String answer =
-                ask(
+                sendRequest(
                         post(
                                 "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
                                 "0\r\n\r\nGET /smuggled HTTP/1.1\r\n" + HOST + "\r\n"));
@@ -188,7 +198,7 @@
     }
 
     @Test
-    void should_refuse_connections_when_one_caller_has_too_many() throws IOException {
+    void should_refuse_connection_when_caller_has_too_many() throws IOException {
         // given
         List<RawClient> clients = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
@@ -204,7 +214,7 @@
         // then
         assertProblem(answer, 429, "caller-over-share");
         clients.forEach(RawClient::close);
-        TestNode.await("places are free again", InvalidRequestTest::serves);
+        TestNode.await("connections are accepted again", InvalidRequestTest::acceptsRequests);
     }
 
     private static void assertProblem(String answer, int status, String reason) {
@@ -219,11 +229,11 @@
         assertThat(problem.keySet()).containsAtLeast("type", "title", "detail", "refusal_id");
     }
 
-    private static void assertServes() {
-        assertThat(serves()).isTrue();
+    private static void assertAcceptsRequests() {
+        assertThat(acceptsRequests()).isTrue();
     }
 
-    private static boolean serves() {
+    private static boolean acceptsRequests() {
         try (RawClient client = new RawClient(node.port())) {
             return client.send("GET / HTTP/1.1\r\nHost: nobody.example\r\n\r\n")
                     .readAnswer()
@@ -233,13 +243,13 @@
         }
     }
 
-    private static String ask(String request) throws IOException {
+    private static String sendRequest(String request) throws IOException {
         try (RawClient client = new RawClient(node.port())) {
             return client.send(request).endOutput().readAll();
         }
     }
 
-    private static String refusedBecause(String reason) {
+    private static String refusalCounter(String reason) {
         return "damaskmoor_requests_refused_total{reason=\"" + reason + "\"}";
     }
 }
--- a/node/src/test/java/org/damaskmoor/node/QuarantineTest.java
+++ b/node/src/test/java/org/damaskmoor/node/QuarantineTest.java
@@ -30,13 +30,13 @@
     }
 
     @Test
-    void should_refuse_only_the_request_that_was_in_flight_when_two_upstreams_crashed()
+    void should_quarantine_only_request_that_was_in_flight_when_two_upstreams_crashed()
             throws IOException {
         // given
-        try (TestCluster group =
+        try (TestCluster cluster =
                 new TestCluster(
                         this::serve, settings -> settings.setAnnouncementLeaseMilliseconds(500))) {
-            pairs.set(List.of(group.addNode(1), group.addNode(2), group.addNode(3)));
+            pairs.set(List.of(cluster.addNode(1), cluster.addNode(2), cluster.addNode(3)));
             TestNode entry = pairs.get().get(0).node();
 
             // when
--- a/node/src/test/java/org/damaskmoor/node/ResponseForwardingTest.java
+++ b/node/src/test/java/org/damaskmoor/node/ResponseForwardingTest.java
@@ -51,7 +51,7 @@
                                 .build());
         node = TestNode.start(tables.url(), settings -> {});
         upstream = new FakeUpstream(node, "besuch", ResponseForwardingTest::answer);
-        TestNode.await("requests are answered", () -> ask("GET /body").contains(" 200 "));
+        TestNode.await("requests are answered", () -> sendRequest("GET /body").contains(" 200 "));
     }
 
     @AfterAll
@@ -110,17 +110,17 @@
         }
     }
 
-    private static byte[] gzip(byte[] plain) throws IOException {
-        ByteArrayOutputStream packed = new ByteArrayOutputStream();
-        try (GZIPOutputStream gzip = new GZIPOutputStream(packed)) {
-            gzip.write(plain);
+    private static byte[] gzip(byte[] uncompressed) throws IOException {
+        ByteArrayOutputStream compressed = new ByteArrayOutputStream();
+        try (GZIPOutputStream gzip = new GZIPOutputStream(compressed)) {
+            gzip.write(uncompressed);
         }
-        return packed.toByteArray();
+        return compressed.toByteArray();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"HEAD /body", "GET /204", "GET /304"})
-    void should_keep_the_connection_in_step_when_answer_has_no_body(String request)
+    void should_keep_requests_and_responses_paired_when_response_has_no_body(String request)
             throws IOException {
         // given
         try (RawClient client = new RawClient(node.port())) {
@@ -137,11 +137,11 @@
     }
 
     @Test
-    void should_pass_on_all_fields_while_other_threads_use_buffers() throws Exception {
-        // given another thread of the process that takes and returns buffers of the HTTP library
+    void should_forward_headers_unchanged_while_other_threads_use_buffers() throws Exception {
+        // given another thread that allocates and recycles pooled buffers of the HTTP library
         ExecutorService callers = Executors.newFixedThreadPool(CALLERS + 1);
-        AtomicBoolean ended = new AtomicBoolean();
-        callers.execute(() -> useBuffersUntil(ended));
+        AtomicBoolean stopped = new AtomicBoolean();
+        callers.execute(() -> useBuffersUntil(stopped));
 
         // when
         List<Future<List<String>>> wrong = new ArrayList<>();
@@ -154,12 +154,12 @@
         for (Future<List<String>> found : wrong) {
             assertThat(found.get()).isEmpty();
         }
-        ended.set(true);
+        stopped.set(true);
         callers.shutdown();
     }
 
-    private static void useBuffersUntil(AtomicBoolean ended) {
-        while (!ended.get()) {
+    private static void useBuffersUntil(AtomicBoolean stopped) {
+        while (!stopped.get()) {
             for (int size = SMALLEST_BUFFER; size <= LARGEST_BUFFER; size *= 2) {
                 ByteBuf buffer = ByteBufPool.allocate(size);
                 Arrays.fill(buffer.array(), (byte) '?');
@@ -185,9 +185,9 @@
     }
 
     @Test
-    void should_answer_whole_and_unpacked_when_upstream_packs() {
+    void should_return_complete_decoded_body_when_upstream_sends_gzip() {
         // when
-        String answer = ask("GET /gzip");
+        String answer = sendRequest("GET /gzip");
 
         // then
         assertThat(answer).endsWith("\r\n\r\npacked");
@@ -195,7 +195,7 @@
     }
 
     @Test
-    void should_hand_over_unpacked_when_caller_packs() throws IOException {
+    void should_forward_decoded_body_when_caller_sends_gzip() throws IOException {
         // given
         byte[] body = gzip("packed request".getBytes(StandardCharsets.UTF_8));
 
@@ -214,7 +214,7 @@
     }
 
     @Test
-    void should_put_chunks_together_when_caller_sends_chunks() throws IOException {
+    void should_forward_whole_body_when_caller_sends_chunks() throws IOException {
         // when
         String answer;
         try (RawClient client = new RawClient(node.port())) {
@@ -227,9 +227,9 @@
     }
 
     @Test
-    void should_clean_fields_when_upstream_sends_control_characters() {
+    void should_sanitize_headers_when_upstream_sends_control_characters() {
         // when
-        String answer = ask("GET /split");
+        String answer = sendRequest("GET /split");
 
         // then
         assertThat(answer).containsMatch("(?i)x-plain: kept\r\n");
@@ -237,7 +237,7 @@
     }
 
     @Test
-    void should_free_the_place_when_caller_goes() throws IOException {
+    void should_close_request_when_caller_disconnects() throws IOException {
         // given
         int before = upstream.started.get();
         RawClient client = new RawClient(node.port()).send("GET /wait" + HOST + "\r\n");
@@ -248,10 +248,10 @@
         client.close();
 
         // then
-        TestNode.await("its place is free", () -> node.metric("damaskmoor_open_requests") == 0);
+        TestNode.await("the request is closed", () -> node.metric("damaskmoor_open_requests") == 0);
     }
 
-    private static String ask(String request) {
+    private static String sendRequest(String request) {
         try (RawClient client = new RawClient(node.port())) {
             return client.send(request + HOST + "\r\n").readAnswer();
         } catch (IOException failure) {
--- a/node/src/test/java/org/damaskmoor/node/internal/accounting/AccountingManagerTest.java
+++ b/node/src/test/java/org/damaskmoor/node/internal/accounting/AccountingManagerTest.java
@@ -32,8 +32,8 @@
     private static final NodeId SELF = new NodeId("owner");
     private static final Incarnation INCARNATION = new Incarnation(7);
     private static final MemberRecord PEER = member("peer", "west", "west-2");
-    private static final int RING_REFUSALS = 16_384;
-    private static final long LONGEST_MILLISECONDS = 3_600_000;
+    private static final int MAILBOX_CAPACITY = 16_384;
+    private static final long FLUSH_TIMEOUT_MILLISECONDS = 3_600_000;
 
     private final ManualEventLoop loop = new ManualEventLoop();
     private final MemberDirectory members = new MemberDirectory();
@@ -41,11 +41,12 @@
             new AccountingPeers(members, new DataCentreName("west-1"), new RegionName("west"));
     private final List<RefusalBatch> sent = new ArrayList<>();
     private final List<MeshFrame> replies = new ArrayList<>();
-    private final List<String> answered = new ArrayList<>();
+    private final List<String> recordedIds = new ArrayList<>();
     private final InMemoryObjectStore store = new InMemoryObjectStore();
-    private final AccountingManager accounting = new AccountingManager(SELF, INCARNATION, parts());
+    private final AccountingManager accounting =
+            new AccountingManager(SELF, INCARNATION, dependencies());
 
-    private AccountingDependencies parts() {
+    private AccountingDependencies dependencies() {
         return new AccountingDependencies(
                 loop::nanoseconds,
                 () -> TimeUnit.NANOSECONDS.toMillis(loop.nanoseconds()),
@@ -60,67 +61,67 @@
     }
 
     @Test
-    void should_answer_with_its_id_only_when_the_peer_stored_the_refusal() {
+    void should_call_back_with_id_only_after_peer_stored_refusal() {
         // given
-        start(PEER);
+        startWith(PEER);
         refuse();
         loop.advance(3);
         assertThat(sent).hasSize(1);
-        assertThat(answered).isEmpty();
+        assertThat(recordedIds).isEmpty();
 
         // when
         accounting.onFrame(link("peer"), stored(sent.get(0)));
         loop.run();
 
         // then
-        assertThat(answered).containsExactly("owner/7/1");
-        assertThat(flushed().gaps()).isEmpty();
+        assertThat(recordedIds).containsExactly("owner/7/1");
+        assertThat(flushAndSummarize().gaps()).isEmpty();
     }
 
     @Test
-    void should_answer_and_record_a_gap_when_no_peer_stores_the_refusal() {
+    void should_call_back_and_count_gap_when_no_peer_stores_refusal() {
         // given
-        start(PEER);
+        startWith(PEER);
         refuse();
 
         // when
         loop.advance(1_000);
 
         // then
-        assertThat(answered).containsExactly("owner/7/1");
-        RefusalSummary summary = flushed();
+        assertThat(recordedIds).containsExactly("owner/7/1");
+        RefusalSummary summary = flushAndSummarize();
         assertThat(summary.total()).isEqualTo(1);
         assertThat(summary.gaps().get(0).count()).isEqualTo(1);
     }
 
     @Test
-    void should_answer_at_once_and_count_a_gap_when_the_ring_is_full() {
+    void should_call_back_at_once_and_count_gap_when_mailbox_is_full() {
         // given
-        start(PEER);
-        for (int i = 0; i < RING_REFUSALS; i++) {
+        startWith(PEER);
+        for (int i = 0; i < MAILBOX_CAPACITY; i++) {
             refuse();
         }
-        assertThat(answered).isEmpty();
+        assertThat(recordedIds).isEmpty();
 
         // when
         refuse();
 
         // then
-        assertThat(answered).containsExactly("owner/7/" + (RING_REFUSALS + 1));
+        assertThat(recordedIds).containsExactly("owner/7/" + (MAILBOX_CAPACITY + 1));
         loop.advance(3);
         sent.forEach(batch -> accounting.onFrame(link("peer"), stored(batch)));
         loop.run();
-        RefusalSummary summary = flushed();
-        assertThat(summary.total()).isEqualTo(RING_REFUSALS + 1);
+        RefusalSummary summary = flushAndSummarize();
+        assertThat(summary.total()).isEqualTo(MAILBOX_CAPACITY + 1);
         assertThat(summary.gaps().get(0).count()).isEqualTo(1);
-        assertThat(answered).hasSize(RING_REFUSALS + 1);
+        assertThat(recordedIds).hasSize(MAILBOX_CAPACITY + 1);
     }
 
     @Test
-    void should_flush_what_it_keeps_for_a_peer_when_the_peer_dies_or_starts_anew() {
+    void should_flush_refusals_stored_for_peer_when_peer_dies_or_restarts() {
         for (boolean restarts : new boolean[] {false, true}) {
             // given
-            start(PEER);
+            startWith(PEER);
             accounting.onFrame(link("peer"), batchOfPeer());
             loop.run();
             assertThat(replies.get(replies.size() - 1).hasRefusalBatchStored()).isTrue();
@@ -140,22 +141,22 @@
     }
 
     @Test
-    void should_use_the_paid_link_only_when_the_region_has_one_data_centre() {
+    void should_use_paid_link_only_when_region_has_one_data_centre() {
         // given
-        MemberRecord abroad = member("abroad", "east", "east-1");
-        members.publish(List.of(abroad));
+        MemberRecord otherRegion = member("abroad", "east", "east-1");
+        members.publish(List.of(otherRegion));
         assertThat(peers.get()).containsExactly(new NodeId("abroad"));
 
         // when
-        start(PEER, abroad);
+        startWith(PEER, otherRegion);
         assertThat(peers.get()).containsExactly(new NodeId("peer"));
-        members.publish(List.of(abroad));
+        members.publish(List.of(otherRegion));
 
         // then
         assertThat(peers.get()).isEmpty();
     }
 
-    private void start(MemberRecord... present) {
+    private void startWith(MemberRecord... present) {
         members.publish(List.of(present));
         List.of(present).forEach(accounting::onMemberPresent);
         accounting.start();
@@ -169,11 +170,11 @@
                         new CallerName("staff"),
                         RefusalReason.QUEUE_FULL,
                         1),
-                answered::add);
+                recordedIds::add);
     }
 
-    private RefusalSummary flushed() {
-        CompletableFuture<Void> done = accounting.flush(LONGEST_MILLISECONDS);
+    private RefusalSummary flushAndSummarize() {
+        CompletableFuture<Void> done = accounting.flush(FLUSH_TIMEOUT_MILLISECONDS);
         loop.advance(1_000);
         assertThat(done.isDone()).isTrue();
         RefusalReconciler reconciler = new RefusalReconciler(0, 60);
--- a/node/src/test/java/org/damaskmoor/node/internal/accounting/InMemoryObjectStore.java
+++ b/node/src/test/java/org/damaskmoor/node/internal/accounting/InMemoryObjectStore.java
@@ -11,7 +11,7 @@
 import org.damaskmoor.schema.mesh.RefusalCount;
 import org.damaskmoor.schema.mesh.RefusalReason;
 
-/** An object store in memory that answers at once. */
+/** An object store in memory that answers immediately. */
 final class InMemoryObjectStore implements ObjectStore {
     private final TreeMap<String, ByteString> objects = new TreeMap<>();
 
@@ -55,9 +55,9 @@
 
     @Override
     public CompletableFuture<PutResult> putIfAbsent(String name, ByteString content) {
-        boolean stood = objects.putIfAbsent(name, content) != null;
+        boolean existed = objects.putIfAbsent(name, content) != null;
         return CompletableFuture.completedFuture(
-                stood ? PutResult.STANDS_ALREADY : PutResult.CREATED);
+                existed ? PutResult.STANDS_ALREADY : PutResult.CREATED);
     }
 
     @Override
--- a/node/src/test/java/org/damaskmoor/node/internal/accounting/ServiceLevelRecorderTest.java
+++ b/node/src/test/java/org/damaskmoor/node/internal/accounting/ServiceLevelRecorderTest.java
@@ -35,7 +35,7 @@
     private final List<CompletedRequest> ended = new ArrayList<>();
 
     @Test
-    void should_judge_answers_by_the_objective_of_their_kind_or_else_of_all_kinds() {
+    void should_apply_objective_of_kind_or_else_of_all_kinds() {
         assertThat(answered("lookup", 200, 100)).isEqualTo(RequestOutcome.ANSWERED_IN_TIME);
         assertThat(answered("lookup", 200, 101)).isEqualTo(RequestOutcome.LATE);
         assertThat(answered("booking", 200, 101)).isEqualTo(RequestOutcome.ANSWERED_IN_TIME);
@@ -44,20 +44,20 @@
     }
 
     @Test
-    void should_count_a_refusal_only_when_the_service_could_have_served_it() {
-        outcomes(1).onRefused(template("lookup"), RefusalReason.NOT_ALLOWED);
+    void should_count_refusal_only_when_service_could_have_served_request() {
+        recorder(1).onRefused(template("lookup"), RefusalReason.NOT_ALLOWED);
         assertThat(ended).isEmpty();
-        outcomes(1).onRefused(template("lookup"), RefusalReason.QUEUE_FULL);
+        recorder(1).onRefused(template("lookup"), RefusalReason.QUEUE_FULL);
         assertThat(ended.get(0).end()).isEqualTo(RequestOutcome.REFUSED);
         assertThat(ended.get(0).weight()).isEqualTo(5);
     }
 
     private RequestOutcome answered(String kind, int status, long latencyMilliseconds) {
-        outcomes(latencyMilliseconds).onAnswered(template(kind), status);
+        recorder(latencyMilliseconds).onAnswered(template(kind), status);
         return ended.get(ended.size() - 1).end();
     }
 
-    private ServiceLevelRecorder outcomes(long milliseconds) {
+    private ServiceLevelRecorder recorder(long milliseconds) {
         return new ServiceLevelRecorder(
                 () -> SERVICES,
                 () -> TimeUnit.MILLISECONDS.toNanos(milliseconds),
--- a/node/src/test/java/org/damaskmoor/node/internal/claims/InMemoryTableService.java
+++ b/node/src/test/java/org/damaskmoor/node/internal/claims/InMemoryTableService.java
@@ -17,9 +17,9 @@
 import org.damaskmoor.platform.WriteCondition;
 import org.damaskmoor.platform.WriteResult;
 
-/** A table service in memory whose writes and reads can be made to fail. */
+/** A table service in memory whose reads and writes can be made to fail. */
 final class InMemoryTableService implements TableService {
-    /** What becomes of the next write instead of an answer. */
+    /** How the next write fails: it is executed without an answer, or lost. */
     enum Fault {
         LOST_ANSWER,
         LOST_WRITE
@@ -44,7 +44,7 @@
 
     @Override
     public CompletableFuture<Optional<Row>> get(String table, String key) {
-        return down ? failed() : CompletableFuture.completedFuture(find(table, key));
+        return down ? failure() : CompletableFuture.completedFuture(find(table, key));
     }
 
     @Override
@@ -52,17 +52,17 @@
             String table, String key, WriteCondition condition, ByteString value) {
         Fault fault = faults.poll();
         if (down || fault == Fault.LOST_WRITE) {
-            return failed();
+            return failure();
         }
         WriteResult result = write(table, key, condition, value);
-        return fault == Fault.LOST_ANSWER ? failed() : CompletableFuture.completedFuture(result);
+        return fault == Fault.LOST_ANSWER ? failure() : CompletableFuture.completedFuture(result);
     }
 
     private WriteResult write(
             String table, String key, WriteCondition condition, ByteString value) {
-        Optional<Row> standing = find(table, key);
-        if (!condition.holdsFor(standing)) {
-            return new WriteResult.ConditionFailed(standing.map(Row::etag));
+        Optional<Row> existing = find(table, key);
+        if (!condition.holdsFor(existing)) {
+            return new WriteResult.ConditionFailed(existing.map(Row::etag));
         }
         ETag tag = new ETag("tag-" + ++lastTag);
         rows.put(table + "/" + key, new Row(key, tag, value));
@@ -72,7 +72,7 @@
     @Override
     public CompletableFuture<Boolean> delete(String table, String key, ETag etag) {
         if (down) {
-            return failed();
+            return failure();
         }
         boolean matches = find(table, key).filter(row -> row.etag().equals(etag)).isPresent();
         if (matches) {
@@ -95,7 +95,7 @@
         return Optional.ofNullable(rows.get(table + "/" + key));
     }
 
-    private static <T> CompletableFuture<T> failed() {
+    private static <T> CompletableFuture<T> failure() {
         return CompletableFuture.failedFuture(
                 new PlatformException("call", "tables", Effect.UNKNOWN, "no answer", null));
     }
--- a/node/src/test/java/org/damaskmoor/node/internal/claims/TableClaimServiceTest.java
+++ b/node/src/test/java/org/damaskmoor/node/internal/claims/TableClaimServiceTest.java
@@ -8,7 +8,7 @@
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.node.internal.claims.InMemoryTableService.Fault;
 import org.damaskmoor.node.internal.eventloop.ManualEventLoop;
-import org.damaskmoor.node.internal.target.ClaimService.Claim;
+import org.damaskmoor.node.internal.target.ClaimService.ClaimResult;
 import org.damaskmoor.schema.mesh.Call;
 import org.damaskmoor.schema.mesh.RequestId;
 import org.junit.jupiter.api.Test;
@@ -16,76 +16,76 @@
 class TableClaimServiceTest {
     private final InMemoryTableService tables = new InMemoryTableService();
     private final ManualEventLoop upstream = new ManualEventLoop();
-    private final ManualEventLoop later = new ManualEventLoop();
+    private final ManualEventLoop delayed = new ManualEventLoop();
     private final TableClaimService first = claims("first");
     private final TableClaimService second = claims("second");
 
     private TableClaimService claims(String node) {
         return new TableClaimService(
-                new NodeId(node), new Incarnation(1), tables, () -> 1_000, upstream, later);
+                new NodeId(node), new Incarnation(1), tables, () -> 1_000, upstream, delayed);
     }
 
     @Test
-    void should_take_a_key_for_one_request_until_it_is_released() {
+    void should_grant_key_to_one_request_until_released() {
         // given
-        assertThat(claim(first, call(1, 1))).isEqualTo(Claim.GRANTED);
-        assertThat(claim(second, call(2, 1))).isEqualTo(Claim.TAKEN);
+        assertThat(claim(first, call(1, 1))).isEqualTo(ClaimResult.GRANTED);
+        assertThat(claim(second, call(2, 1))).isEqualTo(ClaimResult.TAKEN);
 
         // when
         second.release(call(2, 1));
-        assertThat(claim(second, call(3, 1))).isEqualTo(Claim.TAKEN);
+        assertThat(claim(second, call(3, 1))).isEqualTo(ClaimResult.TAKEN);
         first.release(call(1, 1));
 
         // then
-        assertThat(claim(second, call(4, 1))).isEqualTo(Claim.GRANTED);
+        assertThat(claim(second, call(4, 1))).isEqualTo(ClaimResult.GRANTED);
     }
 
     @Test
-    void should_grant_when_the_answer_or_the_write_was_lost_once() {
+    void should_grant_when_answer_or_write_was_lost_once() {
         for (Fault fault : Fault.values()) {
             tables.failNextWrite(fault);
             Call call = call(1, 1);
-            assertThat(claim(first, call)).isEqualTo(Claim.GRANTED);
+            assertThat(claim(first, call)).isEqualTo(ClaimResult.GRANTED);
             first.release(call);
             assertThat(tables.size()).isEqualTo(0);
         }
     }
 
     @Test
-    void should_be_unavailable_when_the_table_does_not_answer_and_release_when_it_does_again() {
+    void should_be_unavailable_while_table_is_down_and_release_when_it_is_back() {
         // given
         tables.setDown(true);
-        assertThat(claim(first, call(1, 1))).isEqualTo(Claim.UNAVAILABLE);
+        assertThat(claim(first, call(1, 1))).isEqualTo(ClaimResult.UNAVAILABLE);
         tables.setDown(false);
-        assertThat(claim(first, call(1, 1))).isEqualTo(Claim.GRANTED);
+        assertThat(claim(first, call(1, 1))).isEqualTo(ClaimResult.GRANTED);
         tables.setDown(true);
         first.release(call(1, 1));
         assertThat(tables.size()).isEqualTo(1);
 
         // when
         tables.setDown(false);
-        later.run();
+        delayed.run();
 
         // then
         assertThat(tables.size()).isEqualTo(0);
     }
 
     @Test
-    void should_keep_a_later_attempts_claim_whatever_the_former_target_does_late() {
+    void should_keep_claim_of_later_attempt_when_earlier_target_acts_late() {
         // given
-        assertThat(claim(first, call(1, 1))).isEqualTo(Claim.GRANTED);
-        assertThat(claim(second, call(1, 2))).isEqualTo(Claim.GRANTED);
+        assertThat(claim(first, call(1, 1))).isEqualTo(ClaimResult.GRANTED);
+        assertThat(claim(second, call(1, 2))).isEqualTo(ClaimResult.GRANTED);
 
         // when
         first.release(call(1, 1));
-        assertThat(claim(first, call(1, 1))).isEqualTo(Claim.TAKEN);
+        assertThat(claim(first, call(1, 1))).isEqualTo(ClaimResult.TAKEN);
 
         // then
-        assertThat(claim(first, call(2, 1))).isEqualTo(Claim.TAKEN);
+        assertThat(claim(first, call(2, 1))).isEqualTo(ClaimResult.TAKEN);
     }
 
-    private Claim claim(TableClaimService claims, Call call) {
-        List<Claim> results = new ArrayList<>();
+    private ClaimResult claim(TableClaimService claims, Call call) {
+        List<ClaimResult> results = new ArrayList<>();
         claims.claim(call, results::add);
         assertThat(results).isEmpty();
         upstream.run();
--- a/node/src/test/java/org/damaskmoor/node/internal/eventloop/ManualEventLoop.java
+++ b/node/src/test/java/org/damaskmoor/node/internal/eventloop/ManualEventLoop.java
@@ -7,7 +7,10 @@
 import java.util.concurrent.TimeUnit;
 import org.damaskmoor.node.internal.time.Timers;
 
-/** The event loops and the clock of a node under test; everything runs when the test says so. */
+/**
+ * An event loop with a manual clock: tasks and timers run only when the test calls {@link #run} or
+ * {@link #advance}.
+ */
 public final class ManualEventLoop implements Executor {
     private record Timer(long dueNanoseconds, Runnable task) {}
 
@@ -33,14 +36,14 @@
         };
     }
 
-    /** Runs all tasks, also those that they add. */
+    /** Runs all tasks, including those that they add. */
     public void run() {
         while (!tasks.isEmpty()) {
             tasks.remove().run();
         }
     }
 
-    /** Lets time pass, with timers and tasks in their order. */
+    /** Advances the clock and runs the timers and tasks that are due, in order. */
     public void advance(long milliseconds) {
         long end = nowNanoseconds + TimeUnit.MILLISECONDS.toNanos(milliseconds);
         run();
--- a/node/src/test/java/org/damaskmoor/node/internal/load/LoadProberTest.java
+++ b/node/src/test/java/org/damaskmoor/node/internal/load/LoadProberTest.java
@@ -25,7 +25,7 @@
 
 class LoadProberTest {
     private static final RegionName REGION = new RegionName("mittelland");
-    private static final DataCentreName CENTRE = new DataCentreName("bern-nord");
+    private static final DataCentreName DATA_CENTRE = new DataCentreName("bern-nord");
     private static final NodeId SELF = new NodeId("node-0");
     private static final long BYTES_PER_SECOND = 1024;
     private static final int SECONDS = 20;
@@ -36,9 +36,9 @@
     private long now = TimeUnit.SECONDS.toNanos(1);
 
     @Test
-    void should_probe_others_within_the_budget_when_no_answer_tells_of_them() {
+    void should_probe_other_targets_within_budget_when_no_response_reports_their_load() {
         // given
-        LoadProber probes =
+        LoadProber prober =
                 new LoadProber(
                         SELF,
                         REGION,
@@ -47,13 +47,13 @@
                         (node, frame) -> probed.add(node),
                         () -> now);
         List<Target> targets = IntStream.range(0, 30).mapToObj(LoadProberTest::target).toList();
-        Router router = probes.wrap(new ServiceName("besuch"), router());
+        Router router = prober.wrap(new ServiceName("besuch"), router());
         router.updateTargets(targets, now);
 
         // when
         for (int tick = 0; tick < SECONDS * 10; tick++) {
             router.onSent(targets.get(0).id(), now);
-            probes.tick();
+            prober.tick();
             now += TimeUnit.MILLISECONDS.toNanos(LoadProber.TICK_MILLISECONDS);
         }
 
@@ -62,45 +62,47 @@
         assertThat(spent).isAtMost(BYTES_PER_SECOND * (SECONDS + 1));
         assertThat(probed).doesNotContain(SELF);
         assertThat(probed.stream().distinct().count()).isEqualTo(29);
-        assertThat(counted("damaskmoor_measuring_bytes_total{kind=\"probe\"}")).isEqualTo(spent);
+        assertThat(counterValue("damaskmoor_measuring_bytes_total{kind=\"probe\"}"))
+                .isEqualTo(spent);
     }
 
     @Test
-    void should_send_whole_reports_within_the_budget_and_empty_ones_beyond_it() {
+    void should_send_reports_within_budget_and_empty_ones_beyond_it() {
         // given
-        LoadReportLimiter reports =
+        LoadReportLimiter limiter =
                 new LoadReportLimiter(SELF, peer -> true, BYTES_PER_SECOND, counters, () -> now);
-        LoadReport whole = LoadReport.newBuilder().setInFlight(5).setLimit(10).build();
+        LoadReport report = LoadReport.newBuilder().setInFlight(5).setLimit(10).build();
 
         // when
         int sent = 0;
         for (int i = 0; i < 10_000; i++) {
-            LoadReport report = reports.reportFor(new NodeId("other"), whole);
-            sent += report.equals(whole) ? 1 : 0;
+            LoadReport sentReport = limiter.reportFor(new NodeId("other"), report);
+            sent += sentReport.equals(report) ? 1 : 0;
         }
 
         // then
         long budget = LoadReportLimiter.MEASURING_BYTES_PER_SECOND - BYTES_PER_SECOND;
         assertThat(sent).isGreaterThan(0);
-        assertThat(counted("damaskmoor_measuring_bytes_total{kind=\"report\"}")).isAtMost(budget);
-        assertThat(counted("damaskmoor_paid_link_measuring_bytes_total{kind=\"report\"}"))
+        assertThat(counterValue("damaskmoor_measuring_bytes_total{kind=\"report\"}"))
                 .isAtMost(budget);
-        assertThat(reports.reportFor(SELF, whole)).isEqualTo(whole);
+        assertThat(counterValue("damaskmoor_paid_link_measuring_bytes_total{kind=\"report\"}"))
+                .isAtMost(budget);
+        assertThat(limiter.reportFor(SELF, report)).isEqualTo(report);
     }
 
-    private long counted(String name) {
+    private long counterValue(String name) {
         return metrics.counter(name).getCount();
     }
 
     private static Target target(int number) {
         TargetId id = new TargetId(new NodeId("node-" + number), new Incarnation(1));
-        return new Target(id, REGION, CENTRE, UpstreamState.SERVING, 10);
+        return new Target(id, REGION, DATA_CENTRE, UpstreamState.SERVING, 10);
     }
 
     private static Router router() {
         return Router.create(
                 REGION,
-                CENTRE,
+                DATA_CENTRE,
                 RoutingOptions.DEFAULT,
                 ChoicePolicies.expectedCompletion(4),
                 new Random(1));
--- a/node/src/test/java/org/damaskmoor/node/internal/members/MembershipManagerTest.java
+++ b/node/src/test/java/org/damaskmoor/node/internal/members/MembershipManagerTest.java
@@ -30,19 +30,19 @@
     private final AtomicLong now = new AtomicLong(1_000);
     private final MemberDirectory directory = new MemberDirectory();
 
-    private final MembershipManager duty =
+    private final MembershipManager manager =
             new MembershipManager(
                     SELF,
                     (message, to) -> {},
                     GossipExtension.NONE,
-                    new SeedNodeRegistry(silentTables()),
+                    new SeedNodeRegistry(unresponsiveTables()),
                     directory,
-                    new SilentListener(),
+                    new IgnoringListener(),
                     Runnable::run,
                     now::get,
                     new Random(1));
 
-    private static TableService silentTables() {
+    private static TableService unresponsiveTables() {
         return (TableService)
                 Proxy.newProxyInstance(
                         TableService.class.getClassLoader(),
@@ -51,32 +51,32 @@
     }
 
     @Test
-    void should_publish_the_own_upstream_when_it_is_announced_after_all_else_was_published() {
+    void should_publish_own_upstream_when_announced_after_initial_publication() {
         // given
-        duty.tick();
+        manager.tick();
         now.addAndGet(1_000);
-        duty.tick();
+        manager.tick();
 
         // when
-        duty.protocol().announceService(BESUCH, now.get());
-        duty.protocol().announceUpstream(UpstreamState.SERVING, 10, now.get());
+        manager.protocol().announceService(BESUCH, now.get());
+        manager.protocol().announceUpstream(UpstreamState.SERVING, 10, now.get());
         now.addAndGet(1_000);
-        duty.tick();
+        manager.tick();
 
         // then
         assertThat(directory.targets(BESUCH)).hasSize(1);
         assertThat(directory.targets(BESUCH).get(0).state()).isEqualTo(UpstreamState.SERVING);
     }
 
-    private static final class SilentListener implements MembershipManager.MembershipListener {
+    private static final class IgnoringListener implements MembershipManager.MembershipListener {
         @Override
-        public void onPublished() {}
+        public void onDirectoryPublished() {}
 
         @Override
-        public void onGone(MemberRecord member) {}
+        public void onMemberGone(MemberRecord member) {}
 
         @Override
-        public void onPresent(MemberRecord member) {}
+        public void onMemberPresent(MemberRecord member) {}
 
         @Override
         public void onSuperseded() {}
--- a/node/src/test/java/org/damaskmoor/node/internal/target/HttpUpstreamClientTest.java
+++ b/node/src/test/java/org/damaskmoor/node/internal/target/HttpUpstreamClientTest.java
@@ -20,14 +20,14 @@
 
 final class HttpUpstreamClientTest {
     private static final int MAXIMUM_BODY_BYTES = 1024;
-    private static final long PATIENCE_MILLISECONDS = 2000;
+    private static final long TIMEOUT_MILLISECONDS = 2000;
 
     private ServerSocket upstream;
     private EventLoopThread loop;
     private HttpUpstreamClient client;
     private volatile boolean closesAfterAnswer;
 
-    /** What the upstream writes after it has read a request for the path. */
+    /** Returns the bytes that the upstream writes after it has read a request for the path. */
     @FunctionalInterface
     private interface Script {
         String answer(String path);
@@ -47,9 +47,9 @@
     }
 
     @Test
-    void should_not_take_an_extra_answer_for_that_of_the_next_call() throws Exception {
+    void should_not_deliver_extra_response_to_next_call() throws Exception {
         // given
-        serve(path -> whole("answer to " + path) + whole("extra answer"));
+        serve(path -> response("answer to " + path) + response("extra answer"));
 
         // when
         UpstreamOutcome first = call("/first");
@@ -61,9 +61,9 @@
     }
 
     @Test
-    void should_not_take_an_interim_answer_for_the_final_one() throws Exception {
+    void should_not_treat_interim_response_as_final() throws Exception {
         // given
-        serve(path -> "HTTP/1.1 100 Continue\r\n\r\n" + whole("answer to " + path));
+        serve(path -> "HTTP/1.1 100 Continue\r\n\r\n" + response("answer to " + path));
 
         // when
         UpstreamOutcome outcome = call("/first");
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void should_not_take_a_body_for_whole_that_was_cut_short() throws Exception {
+    void should_fail_when_body_is_truncated() throws Exception {
         // given
         closesAfterAnswer = true;
         serve(path -> "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nanswer to");
@@ -95,8 +95,8 @@
                 new UpstreamAddress(
                         upstream.getInetAddress().getHostAddress(), upstream.getLocalPort());
         Call call = Call.newBuilder().setMethod("GET").setTarget(path).build();
-        loop.execute(() -> client.send(address, call, PATIENCE_MILLISECONDS, outcome::complete));
-        return outcome.get(2 * PATIENCE_MILLISECONDS, TimeUnit.MILLISECONDS);
+        loop.execute(() -> client.send(address, call, TIMEOUT_MILLISECONDS, outcome::complete));
+        return outcome.get(2 * TIMEOUT_MILLISECONDS, TimeUnit.MILLISECONDS);
     }
 
     private static String body(UpstreamOutcome outcome) {
@@ -104,7 +104,7 @@
         return ((UpstreamOutcome.Answered) outcome).answer().getBody().toStringUtf8();
     }
 
-    private static String whole(String body) {
+    private static String response(String body) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
@@ -149,7 +149,7 @@
                 line = requests.readLine();
             }
         } catch (IOException closed) {
-            // The client left, which each test does at its end.
+            // The client closed the connection, as it does at the end of each test.
         }
     }
 }
--- a/node/src/test/java/org/damaskmoor/node/internal/target/TargetDispatcherClaimTest.java
+++ b/node/src/test/java/org/damaskmoor/node/internal/target/TargetDispatcherClaimTest.java
@@ -14,7 +14,7 @@
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.core.id.ServiceName;
 import org.damaskmoor.mesh.MeshLink;
-import org.damaskmoor.node.internal.target.ClaimService.Claim;
+import org.damaskmoor.node.internal.target.ClaimService.ClaimResult;
 import org.damaskmoor.schema.mesh.Call;
 import org.damaskmoor.schema.mesh.MeshFrame;
 import org.damaskmoor.schema.mesh.MeshFrame.BodyCase;
@@ -35,9 +35,9 @@
                     .build();
 
     private final List<MeshFrame> replies = new ArrayList<>();
-    private final List<Consumer<Claim>> asked = new ArrayList<>();
+    private final List<Consumer<ClaimResult>> pendingClaims = new ArrayList<>();
     private final List<Call> released = new ArrayList<>();
-    private final List<Consumer<UpstreamOutcome>> runs = new ArrayList<>();
+    private final List<Consumer<UpstreamOutcome>> runningCalls = new ArrayList<>();
     private final TargetDispatcher dispatcher = dispatcher();
 
     private TargetDispatcher dispatcher() {
@@ -57,7 +57,7 @@
                 TargetLedger.bounded(new Incarnation(1), new LedgerLimits(100, 1_000, 100)),
                 admission,
                 upstream,
-                (address, call, remaining, whenDone) -> runs.add(whenDone),
+                (address, call, remaining, whenDone) -> runningCalls.add(whenDone),
                 new RecordingClaims(),
                 new CrashDetector(new NodeId("b"), new Incarnation(1), () -> 0, record -> {}),
                 new TargetTiming(() -> 0, () -> NOW_MILLISECONDS, 0),
@@ -66,8 +66,8 @@
 
     private final class RecordingClaims implements ClaimService {
         @Override
-        public void claim(Call call, Consumer<Claim> whenDone) {
-            asked.add(whenDone);
+        public void claim(Call call, Consumer<ClaimResult> whenDone) {
+            pendingClaims.add(whenDone);
         }
 
         @Override
@@ -77,33 +77,33 @@
     }
 
     @Test
-    void should_answer_unknown_and_not_run_when_an_earlier_request_has_the_key() {
-        call();
-        asked.get(0).accept(Claim.TAKEN);
-        assertThat(last().getBodyCase()).isEqualTo(BodyCase.FAILED);
-        assertThat(runs).isEmpty();
+    void should_answer_unknown_without_running_when_earlier_request_holds_key() {
+        sendCall();
+        pendingClaims.get(0).accept(ClaimResult.TAKEN);
+        assertThat(lastReply().getBodyCase()).isEqualTo(BodyCase.FAILED);
+        assertThat(runningCalls).isEmpty();
         assertThat(released).isEmpty();
     }
 
     @Test
-    void should_refuse_and_release_when_the_claim_is_unavailable() {
-        call();
-        asked.get(0).accept(Claim.UNAVAILABLE);
-        assertThat(last().getRefused().getReason()).isEqualTo(RefusalReason.CLAIM_UNAVAILABLE);
-        assertThat(runs).isEmpty();
+    void should_refuse_and_release_when_claim_is_unavailable() {
+        sendCall();
+        pendingClaims.get(0).accept(ClaimResult.UNAVAILABLE);
+        assertThat(lastReply().getRefused().getReason()).isEqualTo(RefusalReason.CLAIM_UNAVAILABLE);
+        assertThat(runningCalls).isEmpty();
         assertThat(released).hasSize(1);
     }
 
     @Test
-    void should_release_only_when_the_upstream_did_not_run_the_call() {
+    void should_release_only_when_upstream_did_not_run_call() {
         for (boolean ran : new boolean[] {true, false}) {
             // given
-            TargetDispatcherClaimTest fresh = new TargetDispatcherClaimTest();
-            fresh.call();
-            fresh.asked.get(0).accept(Claim.GRANTED);
+            TargetDispatcherClaimTest other = new TargetDispatcherClaimTest();
+            other.sendCall();
+            other.pendingClaims.get(0).accept(ClaimResult.GRANTED);
 
             // when
-            fresh.runs
+            other.runningCalls
                     .get(0)
                     .accept(
                             ran
@@ -111,14 +111,14 @@
                                     : new UpstreamOutcome.NotRun(true, false));
 
             // then
-            assertThat(fresh.released).hasSize(ran ? 0 : 1);
+            assertThat(other.released).hasSize(ran ? 0 : 1);
         }
     }
 
     @Test
-    void should_release_once_the_claim_is_answered_when_the_call_was_sealed_before() {
+    void should_release_after_claim_is_answered_when_call_was_sealed_before() {
         // given
-        call();
+        sendCall();
         dispatcher.onFrame(
                 link(),
                 MeshFrame.newBuilder()
@@ -133,14 +133,14 @@
         assertThat(released).isEmpty();
 
         // when
-        asked.get(0).accept(Claim.GRANTED);
+        pendingClaims.get(0).accept(ClaimResult.GRANTED);
 
         // then
         assertThat(released).hasSize(1);
-        assertThat(runs).isEmpty();
+        assertThat(runningCalls).isEmpty();
     }
 
-    private void call() {
+    private void sendCall() {
         dispatcher.onFrame(
                 link(),
                 MeshFrame.newBuilder()
@@ -160,7 +160,7 @@
                         .build());
     }
 
-    private MeshFrame last() {
+    private MeshFrame lastReply() {
         return replies.get(replies.size() - 1);
     }
 
