--- a/node/src/main/java/org/damaskmoor/node/NodeMain.java
+++ b/node/src/main/java/org/damaskmoor/node/NodeMain.java
@@ -53,10 +53,7 @@
         return EXIT_PLANNED_STOP;
     }
 
-    /**
-     * Exits with 0 after a graceful shutdown, where the JVM would exit with the number of the
-     * signal.
-     */
+    /** Exits with 0 after a graceful shutdown, even though a signal requested it. */
     private static void stop(NodeProcess node) {
         node.stop().join();
         Runtime.getRuntime().halt(EXIT_PLANNED_STOP);
--- a/node/src/main/java/org/damaskmoor/node/internal/accounting/AccountingPeers.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/accounting/AccountingPeers.java
@@ -14,8 +14,8 @@
  *
  * <p>Nodes of other regions, which are reached over the paid link, are used only if the region has
  * one data centre. If several data centres of the region were seen since the start and only one is
- * visible now, the others are partitioned or down: refusals then count as gaps until another is
- * visible again, so that an outage causes no traffic on the paid link.
+ * visible now, this node has lost contact with the others: refusals then count as gaps until
+ * another data centre is visible again, and the paid link is not used.
  *
  * <p>Confined to the accounting event loop.
  */
--- a/node/src/main/java/org/damaskmoor/node/internal/claims/ClaimKey.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/claims/ClaimKey.java
@@ -34,7 +34,8 @@
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException missing) {
-            throw new IllegalStateException("every Java platform has SHA-256", missing);
+            throw new IllegalStateException(
+                    "this JVM has no SHA-256, which every Java platform must provide", missing);
         }
     }
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/EntryDispatcher.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/EntryDispatcher.java
@@ -163,7 +163,7 @@
         EntryExchange exchange = new EntryExchange(id, template, runtime, context, reply);
         exchanges.put(id.sequence(), exchange);
         exchange.start();
-        return exchange::onCallerGone;
+        return exchange::onCallerDisconnected;
     }
 
     private CallTemplate createTemplate(
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/EntryExchange.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/EntryExchange.java
@@ -152,7 +152,7 @@
         }
     }
 
-    void onCallerGone() {
+    void onCallerDisconnected() {
         perform(call.callerDisconnected());
     }
 
--- a/node/src/main/java/org/damaskmoor/node/internal/load/LoadReportLimiter.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/load/LoadReportLimiter.java
@@ -11,7 +11,7 @@
  * Decides which answers and refusals carry a load report, within a byte budget.
  *
  * <p>Confined to the upstream event loop. Invariant: reports to other nodes stay within the budget;
- * once it is used up, answers carry an empty report, which has no meaning.
+ * once it is used up, answers carry an empty report, which carries no information.
  */
 public final class LoadReportLimiter {
     /** Budget of a node for all measurement of load. */
--- a/node/src/main/java/org/damaskmoor/node/internal/members/SeedNodeRegistry.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/members/SeedNodeRegistry.java
@@ -14,7 +14,8 @@
 import org.damaskmoor.schema.gossip.MemberRecord;
 
 /**
- * Seed nodes in the table service, through which a new node finds its first peer.
+ * Seed nodes in the table service, through which a new node finds its first peer. The table and the
+ * log events call them join points.
  *
  * <p>Each data centre has a few rows; they are not renewed, only replaced when their node is gone,
  * so that the table service carries no heartbeats.
@@ -55,7 +56,7 @@
 
     private CompletableFuture<Void> registerIfNeeded(
             MemberRecord self, Predicate<MemberRecord> isMember, List<Row> rows) {
-        int current = 0;
+        int registered = 0;
         List<Row> stale = new ArrayList<>();
         Optional<Row> own = Optional.empty();
         for (Row row : rows) {
@@ -63,12 +64,12 @@
             if (record.getNodeId().equals(self.getNodeId())) {
                 own = Optional.of(row);
             } else if (isMember.test(record)) {
-                current++;
+                registered++;
             } else {
                 stale.add(row);
             }
         }
-        if (current >= SEED_NODES_PER_DATA_CENTRE || isCurrent(own, self)) {
+        if (registered >= SEED_NODES_PER_DATA_CENTRE || isCurrent(own, self)) {
             return CompletableFuture.completedFuture(null);
         }
         Optional<Row> ownRow = own;
--- a/node/src/main/java/org/damaskmoor/node/internal/target/PendingReplies.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/target/PendingReplies.java
@@ -75,10 +75,10 @@
 
     /** Sends the outcome of a call that has already ended. */
     void sendOutcome(PendingReply pending, CallState state, Optional<ByteString> answer) {
-        boolean kept = answer.isPresent() && !answer.get().isEmpty();
+        boolean stored = answer.isPresent() && !answer.get().isEmpty();
         if (state.isNotRun()) {
             sendRefusal(pending, CallRefusal.of(RefusalReason.SEALED_AFTER_SILENCE));
-        } else if (state == CallState.ANSWERED && kept) {
+        } else if (state == CallState.ANSWERED && stored) {
             CallAnswer parsed = parse(answer.get());
             pending.link()
                     .send(
@@ -96,11 +96,12 @@
                                 pending, detail, loadReport.apply(pending.link().peer())));
     }
 
-    private static CallAnswer parse(ByteString kept) {
+    private static CallAnswer parse(ByteString stored) {
         try {
-            return CallAnswer.parseFrom(kept);
+            return CallAnswer.parseFrom(stored);
         } catch (InvalidProtocolBufferException corrupted) {
-            throw new IllegalStateException("an answer kept in memory can't be read", corrupted);
+            throw new IllegalStateException(
+                    "the stored answer is not a valid CallAnswer message", corrupted);
         }
     }
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/target/TargetTiming.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/target/TargetTiming.java
@@ -11,7 +11,7 @@
  *
  * <p>A call carries its deadline twice: as the time left when it was sent, which limits its time in
  * the queue, and as a time on the entry node's clock, which tells a late copy from one in time no
- * matter how long it was under way. This node relates its two clocks once, at its start, so that
+ * matter how long it was in transit. This node relates its two clocks once, at its start, so that
  * all copies of a call are treated alike. Times are nanoseconds of this node's monotonic clock.
  *
  * <p>Confined to the upstream event loop.
--- a/node/src/test/java/org/damaskmoor/node/InvalidRequestTest.java
+++ b/node/src/test/java/org/damaskmoor/node/InvalidRequestTest.java
@@ -54,7 +54,7 @@
 
     static Stream<InvalidRequest> invalidRequests() {
         return Stream.of(
-                malformed("no HTTP", "\u0016\u0003\u0001 hello\r\n\r\n"),
+                malformed("not HTTP", "\u0016\u0003\u0001 hello\r\n\r\n"),
                 malformed("unknown method", "JUMP / HTTP/1.1\r\n" + HOST + "\r\n"),
                 malformed("no version", "GET /visits\r\n" + HOST + "\r\n"),
                 malformed("later version", "GET /visits HTTP/2.0\r\n" + HOST + "\r\n"),
@@ -66,7 +66,7 @@
                 malformed("two hosts", "GET / HTTP/1.1\r\n" + HOST + "Host: b\r\n\r\n"),
                 malformed("host with a path", "GET / HTTP/1.1\r\nHost: a/b\r\n\r\n"),
                 malformed("two lengths", post("Content-Length: 1\r\nContent-Length: 2\r\n", "ab")),
-                malformed("listed lengths", post("Content-Length: 1, 1\r\n", "a")),
+                malformed("list of lengths", post("Content-Length: 1, 1\r\n", "a")),
                 malformed("negative length", post("Content-Length: -1\r\n", "a")),
                 malformed("signed length", post("Content-Length: +1\r\n", "a")),
                 malformed("huge length", post("Content-Length: 99999999999999999999\r\n", "a")),
@@ -76,22 +76,22 @@
                 malformed(
                         "unknown encoding",
                         post("Transfer-Encoding: gzip, chunked\r\n", "0\r\n\r\n")),
-                malformed("early end", post("Content-Length: 10\r\n", "abc")),
-                malformed("early end of chunks", post("Transfer-Encoding: chunked\r\n", "5\r\nab")),
+                malformed("truncated body", post("Content-Length: 10\r\n", "abc")),
+                malformed("truncated chunks", post("Transfer-Encoding: chunked\r\n", "5\r\nab")),
                 malformed("bad chunk", post("Transfer-Encoding: chunked\r\n", "zz\r\nab\r\n")),
                 malformed(
                         "not gzip",
                         post("Content-Encoding: gzip\r\nContent-Length: 12\r\n", "no gzip body")),
                 tooLarge(
-                        "long body",
+                        "body over the limit",
                         post("Content-Length: " + OVERSIZED + "\r\n", "a".repeat(OVERSIZED)),
                         413),
                 tooLarge(
-                        "body announced long",
+                        "declared length over the limit",
                         post("Content-Length: " + OVERSIZED + "\r\n", ""),
                         413),
                 tooLarge(
-                        "long chunks",
+                        "chunks over the limit",
                         post(
                                 "Transfer-Encoding: chunked\r\n",
                                 Integer.toHexString(OVERSIZED)
--- a/node/src/test/java/org/damaskmoor/node/QuarantineTest.java
+++ b/node/src/test/java/org/damaskmoor/node/QuarantineTest.java
@@ -56,7 +56,7 @@
     private void awaitCrashes(int count) {
         for (TestCluster.Pair pair : pairs.get()) {
             TestNode.await(
-                    "crashes are known",
+                    "every node has the crash records",
                     () -> pair.node().metric("damaskmoor_crash_records") >= count);
         }
     }
