--- a/node/src/main/java/org/damaskmoor/node/internal/claims/ClaimKey.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/claims/ClaimKey.java
@@ -7,10 +7,10 @@
 import org.damaskmoor.schema.mesh.Call;
 
 /**
- * The row key of a claim: {@code service.hash}, where the hash is the SHA-256 of service, caller
- * and idempotency key, each after its length.
+ * Computes the row key of a claim: {@code service.hash}, where the hash is the SHA-256 of service,
+ * caller and idempotency key, each prefixed with its length.
  *
- * <p>Whatever a caller sends, the key has a bounded length and needs no escaping. Stateless and
+ * <p>The key has a bounded length and needs no escaping, whatever a caller sends. Stateless and
  * thread-safe.
  */
 final class ClaimKey {
@@ -34,7 +34,8 @@
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException missing) {
-            throw new IllegalStateException("every Java platform has SHA-256", missing);
+            throw new IllegalStateException(
+                    "this JVM has no SHA-256, which every Java platform must provide", missing);
         }
     }
 }
