--- a/node/src/test/java/org/damaskmoor/node/internal/accounting/InMemoryObjectStore.java
+++ b/node/src/test/java/org/damaskmoor/node/internal/accounting/InMemoryObjectStore.java
@@ -57,7 +57,7 @@
     public CompletableFuture<PutResult> putIfAbsent(String name, ByteString content) {
         boolean stood = objects.putIfAbsent(name, content) != null;
         return CompletableFuture.completedFuture(
-                stood ? PutResult.STANDS_ALREADY : PutResult.CREATED);
+                stood ? PutResult.ALREADY_EXISTS : PutResult.CREATED);
     }
 
     @Override
--- a/report/src/test/java/org/damaskmoor/report/FakeObjectStore.java
+++ b/report/src/test/java/org/damaskmoor/report/FakeObjectStore.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.damaskmoor.platform.ObjectStore;
 
-/** An object store in memory. */
+/** In-memory object store. */
 final class FakeObjectStore implements ObjectStore {
     final TreeMap<String, ByteString> objects = new TreeMap<>();
 
@@ -15,7 +15,7 @@
     public CompletableFuture<PutResult> putIfAbsent(String name, ByteString content) {
         boolean created = objects.putIfAbsent(name, content) == null;
         return CompletableFuture.completedFuture(
-                created ? PutResult.CREATED : PutResult.STANDS_ALREADY);
+                created ? PutResult.CREATED : PutResult.ALREADY_EXISTS);
     }
 
     @Override
