--- a/mesh/src/main/java/org/damaskmoor/mesh/ChannelCustomizer.java
+++ b/mesh/src/main/java/org/damaskmoor/mesh/ChannelCustomizer.java
@@ -4,8 +4,8 @@
 import java.net.InetSocketAddress;
 
 /**
- * Adds handlers to a channel between two nodes before it is used, for example the emulated link of
- * the bench.
+ * Adds handlers to a channel between two nodes before it is used, for example an emulated link in
+ * benchmarks.
  *
  * <p>Called on the channel's event loop; must not block.
  */
@@ -18,7 +18,7 @@
      * Adds handlers to the pipeline.
      *
      * @param channel the new channel
-     * @param remote the other end, or null for a datagram channel that speaks with many peers
+     * @param remote the other end, or null for a datagram channel, which serves many peers
      */
     void customize(Channel channel, InetSocketAddress remote);
 }
--- a/mesh/src/main/java/org/damaskmoor/mesh/MeshException.java
+++ b/mesh/src/main/java/org/damaskmoor/mesh/MeshException.java
@@ -3,7 +3,7 @@
 import org.damaskmoor.core.id.NodeId;
 
 /**
- * A failure between two nodes. Carries the step at which it arose and the peer.
+ * A failure of the communication with another node. Carries the step that failed and the peer.
  *
  * <p>Immutable and thread-safe.
  */
@@ -31,12 +31,12 @@
         this.peer = peer;
     }
 
-    /** The step at which it failed. */
+    /** Returns the step that failed. */
     public Step step() {
         return step;
     }
 
-    /** The node at the other end. */
+    /** Returns the node at the other end. */
     public NodeId peer() {
         return peer;
     }
--- a/mesh/src/main/java/org/damaskmoor/mesh/MeshLink.java
+++ b/mesh/src/main/java/org/damaskmoor/mesh/MeshLink.java
@@ -5,21 +5,21 @@
 import org.damaskmoor.schema.mesh.MeshFrame;
 
 /**
- * One open connection to another node, on which frames can be answered.
+ * One open connection to another node, over which frames can be sent back.
  *
  * <p>Thread-safe: {@link #send} may be called from any thread.
  */
 public interface MeshLink {
-    /** The node at the other end, as it named itself in its first frame. */
+    /** Returns the node at the other end, as named in its Hello frame. */
     NodeId peer();
 
-    /** The incarnation of the node at the other end. */
+    /** Returns the incarnation of the node at the other end. */
     Incarnation incarnation();
 
     /**
      * Sends a frame over this connection.
      *
-     * @return false when the connection is closed or the ring is full, and nothing was sent
+     * @return false if the connection is closed or its write buffer is full; the frame was not sent
      */
     boolean send(MeshFrame frame);
 }
--- a/mesh/src/main/java/org/damaskmoor/mesh/MeshPeer.java
+++ b/mesh/src/main/java/org/damaskmoor/mesh/MeshPeer.java
@@ -4,7 +4,7 @@
 import org.damaskmoor.core.id.NodeId;
 
 /**
- * Another node and where its mesh port is. Immutable and thread-safe.
+ * Another node and its mesh address. Immutable and thread-safe.
  *
  * @param nodeId the node
  * @param address its mesh address
--- a/mesh/src/main/java/org/damaskmoor/mesh/MeshSettings.java
+++ b/mesh/src/main/java/org/damaskmoor/mesh/MeshSettings.java
@@ -7,15 +7,16 @@
 import org.damaskmoor.core.id.NodeId;
 
 /**
- * What the mesh needs to know of this node. Immutable and thread-safe.
+ * Settings of a node's mesh transport. Immutable and thread-safe.
  *
  * @param nodeId this node
- * @param incarnation this start of the node
- * @param listenAddress where other nodes connect to
- * @param maximumFrameBytes longest frame; a longer one closes the connection
- * @param ringMessages most frames that wait to be sent
- * @param connectTimeout longest time to open a connection
- * @param silenceTimeout silence after which a connection with open requests is given up
+ * @param incarnation this node's incarnation
+ * @param listenAddress address on which this node accepts connections
+ * @param maximumFrameBytes maximum frame size; a larger frame closes the connection
+ * @param ringMessages maximum number of frames that wait to be sent
+ * @param connectTimeout timeout for opening a connection
+ * @param silenceTimeout time without received frames after which a connection that is in use is
+ *     closed
  * @param security TLS for both directions, or empty for plain TCP
  */
 public record MeshSettings(
--- a/mesh/src/main/java/org/damaskmoor/mesh/MeshTls.java
+++ b/mesh/src/main/java/org/damaskmoor/mesh/MeshTls.java
@@ -3,7 +3,7 @@
 import io.netty.handler.ssl.SslContext;
 
 /**
- * TLS between nodes. Immutable and thread-safe.
+ * TLS contexts for connections between nodes. Immutable and thread-safe.
  *
  * @param server used for connections that other nodes open
  * @param client used for connections that this node opens
--- a/mesh/src/main/java/org/damaskmoor/mesh/NettyMeshTransport.java
+++ b/mesh/src/main/java/org/damaskmoor/mesh/NettyMeshTransport.java
@@ -19,32 +19,32 @@
 import org.damaskmoor.schema.mesh.MeshFrame;
 
 /**
- * The mesh over Netty with one event loop thread.
+ * {@link MeshTransport} over Netty with one event loop thread.
  *
- * <p>Thread safety: public methods may be called from any thread; connections are touched on the
- * event loop only. Invariant: at most one current connection for each peer.
+ * <p>Thread safety: public methods may be called from any thread; connections are accessed on the
+ * event loop only. Invariant: at most one current connection per peer.
  */
 public final class NettyMeshTransport implements MeshTransport {
     private static final int ACCEPT_BACKLOG = 1024;
     private static final long STOP_QUIET_MILLISECONDS = 0;
     private static final long STOP_TIMEOUT_MILLISECONDS = 2_000;
 
-    private record Outgoing(MeshPeer peer, MeshFrame frame, long aliveAfterNanoseconds) {}
+    private record OutgoingFrame(MeshPeer peer, MeshFrame frame, long aliveAfterNanoseconds) {}
 
     private final MeshSettings settings;
     private final MeshListener listener;
     private final NioEventLoopGroup group;
     private final EventLoop loop;
     private final LinkInitializer initializer;
-    private final BoundedMailbox<Outgoing> outgoing;
+    private final BoundedMailbox<OutgoingFrame> outgoingFrames;
     private final Map<NodeId, PeerLinks> links = new HashMap<>();
     private Channel server;
 
     /**
      * Creates a transport that neither listens nor connects yet.
      *
-     * @param settings this node's part
-     * @param listener told of frames and failures, on the event loop
+     * @param settings identity, address and limits of this node
+     * @param listener receives frames and failures, on the event loop
      * @param customizer changes each channel before it is used
      */
     public NettyMeshTransport(
@@ -54,11 +54,11 @@
         this.group = new NioEventLoopGroup(1, new DefaultThreadFactory("mesh", true));
         this.loop = group.next();
         this.initializer = new LinkInitializer(settings, listener, customizer);
-        this.outgoing =
+        this.outgoingFrames =
                 new BoundedMailbox<>(settings.ringMessages(), loop, this::dispatch, this::flushAll);
     }
 
-    /** The event loop, for parts that share the mesh's thread. */
+    /** Returns the event loop, for components that share the mesh's thread. */
     public NioEventLoopGroup group() {
         return group;
     }
@@ -78,7 +78,8 @@
                         .option(ChannelOption.SO_REUSEADDR, true)
                         .childOption(ChannelOption.TCP_NODELAY, true)
                         .childOption(
-                                ChannelOption.WRITE_BUFFER_WATER_MARK, LinkInitializer.UNSENT_BYTES)
+                                ChannelOption.WRITE_BUFFER_WATER_MARK,
+                                LinkInitializer.WRITE_BUFFER_BYTES)
                         .childHandler(initializer.forInbound())
                         .bind(settings.listenAddress());
         bound.addListener(
@@ -112,26 +113,29 @@
 
     @Override
     public void send(MeshPeer peer, MeshFrame frame) {
-        enqueue(new Outgoing(peer, frame, PeerLinks.ANY_CONNECTION));
+        queueFrame(new OutgoingFrame(peer, frame, PeerLinks.ANY_CONNECTION));
     }
 
     @Override
     public void sendOverLiveConnection(MeshPeer peer, MeshFrame frame, long aliveAfterNanoseconds) {
-        enqueue(new Outgoing(peer, frame, aliveAfterNanoseconds));
+        queueFrame(new OutgoingFrame(peer, frame, aliveAfterNanoseconds));
     }
 
-    private void enqueue(Outgoing message) {
-        if (!outgoing.offer(message)) {
+    private void queueFrame(OutgoingFrame message) {
+        if (!outgoingFrames.offer(message)) {
             NodeId peer = message.peer().nodeId();
             listener.onUnsent(
                     peer,
                     message.frame(),
                     new MeshException(
-                            MeshException.Step.ENQUEUE, peer, "the outgoing ring is full", null));
+                            MeshException.Step.ENQUEUE,
+                            peer,
+                            "the queue of outgoing frames is full",
+                            null));
         }
     }
 
-    private void dispatch(Outgoing message) {
+    private void dispatch(OutgoingFrame message) {
         PeerLinks peerLinks =
                 links.computeIfAbsent(
                         message.peer().nodeId(),
--- a/mesh/src/main/java/org/damaskmoor/mesh/gossip/GossipException.java
+++ b/mesh/src/main/java/org/damaskmoor/mesh/gossip/GossipException.java
@@ -7,10 +7,10 @@
     private static final long serialVersionUID = 1;
 
     /**
-     * A failed step.
+     * Creates the exception for a failed step.
      *
-     * @param step what was tried
-     * @param address the address that it was tried with
+     * @param step the step that failed
+     * @param address the local address
      */
     public GossipException(String step, InetSocketAddress address, Throwable cause) {
         super("step=" + step + " address=" + address + ": " + cause.getMessage(), cause);
--- a/mesh/src/main/java/org/damaskmoor/mesh/gossip/GossipInboundHandler.java
+++ b/mesh/src/main/java/org/damaskmoor/mesh/gossip/GossipInboundHandler.java
@@ -8,8 +8,8 @@
 import org.damaskmoor.schema.gossip.GossipMessage;
 
 /**
- * Reads datagrams and hands them on; a faulty one does not close the channel. Confined to the
- * channel's event loop.
+ * Decodes datagrams and passes them to the listener; a malformed one is counted and does not close
+ * the channel. Confined to the channel's event loop.
  */
 final class GossipInboundHandler extends SimpleChannelInboundHandler<DatagramPacket> {
     private final GossipListener listener;
@@ -31,13 +31,13 @@
             }
             traffic.onReceived(message, bytes.length);
             listener.onMessage(message, datagram.sender());
-        } catch (InvalidProtocolBufferException problem) {
+        } catch (InvalidProtocolBufferException failure) {
             traffic.onMalformed();
         }
     }
 
     @Override
-    public void exceptionCaught(ChannelHandlerContext context, Throwable problem) {
+    public void exceptionCaught(ChannelHandlerContext context, Throwable failure) {
         traffic.onMalformed();
     }
 }
--- a/mesh/src/main/java/org/damaskmoor/mesh/gossip/GossipTraffic.java
+++ b/mesh/src/main/java/org/damaskmoor/mesh/gossip/GossipTraffic.java
@@ -48,32 +48,32 @@
         unsent.increment();
     }
 
-    /** Bytes sent in messages of a kind. */
+    /** Returns the bytes sent in messages of a kind. */
     public long sentBytes(BodyCase kind) {
         return sent.get(kind).bytes.sum();
     }
 
-    /** Datagrams of a kind that were sent. */
+    /** Returns the number of datagrams of a kind that were sent. */
     public long sentDatagrams(BodyCase kind) {
         return sent.get(kind).datagrams.sum();
     }
 
-    /** Bytes received in messages of a kind. */
+    /** Returns the bytes received in messages of a kind. */
     public long receivedBytes(BodyCase kind) {
         return received.get(kind).bytes.sum();
     }
 
-    /** Datagrams of a kind that were received. */
+    /** Returns the number of datagrams of a kind that were received. */
     public long receivedDatagrams(BodyCase kind) {
         return received.get(kind).datagrams.sum();
     }
 
-    /** Datagrams that could not be read and were ignored. */
+    /** Returns the number of malformed datagrams, which were ignored. */
     public long malformedDatagrams() {
         return malformed.sum();
     }
 
-    /** Messages dropped because the socket did not take them. */
+    /** Returns the number of messages that could not be written to the socket and were dropped. */
     public long unsentDatagrams() {
         return unsent.sum();
     }
--- a/mesh/src/main/java/org/damaskmoor/mesh/gossip/GossipTransport.java
+++ b/mesh/src/main/java/org/damaskmoor/mesh/gossip/GossipTransport.java
@@ -22,20 +22,20 @@
 import org.damaskmoor.schema.gossip.GossipMessage;
 
 /**
- * Carries gossip between nodes over UDP.
+ * Sends and receives gossip messages over UDP.
  *
  * <pre>{@code
  * GossipTransport transport =
- *         new GossipTransport(listenAddress, ring::offer, ChannelCustomizer.NONE);
+ *         new GossipTransport(listenAddress, listener, ChannelCustomizer.NONE);
  * transport.start().join();
  * transport.send(peer, message);
  * }</pre>
  *
- * <p>Invariants: datagrams that cannot be read are counted and ignored; sending never blocks, and
- * what the socket does not take is counted and dropped. Thread-safe.
+ * <p>Invariants: malformed datagrams are counted and ignored; sending never blocks, and messages
+ * that the socket does not accept are counted and dropped. Thread-safe.
  */
 public final class GossipTransport implements DatagramSender {
-    private static final int LONGEST_DATAGRAM_BYTES = 2_048;
+    private static final int MAXIMUM_DATAGRAM_BYTES = 2_048;
 
     private final InetSocketAddress listenAddress;
     private final GossipListener listener;
@@ -45,7 +45,7 @@
             new NioEventLoopGroup(1, new DefaultThreadFactory("gossip", true));
     private volatile Channel channel;
 
-    /** A transport that is not started yet. */
+    /** Creates a transport that is not started yet. */
     public GossipTransport(
             InetSocketAddress listenAddress,
             GossipListener listener,
@@ -69,7 +69,7 @@
                 .channel(NioDatagramChannel.class)
                 .option(
                         ChannelOption.RCVBUF_ALLOCATOR,
-                        new FixedRecvByteBufAllocator(LONGEST_DATAGRAM_BYTES))
+                        new FixedRecvByteBufAllocator(MAXIMUM_DATAGRAM_BYTES))
                 .handler(
                         new ChannelInitializer<Channel>() {
                             @Override
@@ -112,12 +112,12 @@
         }
     }
 
-    /** What was sent and received since the start. */
+    /** Returns the counters of sent and received messages since the start. */
     public GossipTraffic traffic() {
         return traffic;
     }
 
-    /** Closes the socket; completes when no more message will be heard. */
+    /** Closes the socket; completes when no more messages will be received. */
     public CompletableFuture<Void> close() {
         CompletableFuture<Void> closed = new CompletableFuture<>();
         eventLoop
--- a/mesh/src/main/java/org/damaskmoor/mesh/internal/LinkHandler.java
+++ b/mesh/src/main/java/org/damaskmoor/mesh/internal/LinkHandler.java
@@ -18,12 +18,12 @@
 import org.damaskmoor.schema.mesh.MeshFrame;
 
 /**
- * The last handler of a connection: exchanges the first frames, passes the others on, and gives a
- * connection up that went silent.
+ * Last handler in a connection's pipeline: exchanges Hello frames, passes other frames to the
+ * listener, and closes a silent connection.
  *
- * <p>An opened connection sends a probe when nothing was heard for half of the silence timeout and
- * closes when nothing was heard for the whole. Confined to the mesh event loop, but for {@link
- * #send}.
+ * <p>An outbound connection sends a probe when nothing was received for half of the silence
+ * timeout, and closes when nothing was received for all of it. Confined to the mesh event loop,
+ * except {@link #send}.
  */
 final class LinkHandler extends SimpleChannelInboundHandler<MeshFrame> implements MeshLink {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -35,13 +35,13 @@
     private final NodeId expectedPeer;
     private final MeshListener listener;
     private final long silenceMilliseconds;
-    private final BiConsumer<Channel, Throwable> onGone;
+    private final BiConsumer<Channel, Throwable> onClosed;
     private volatile Channel channel;
     private volatile NodeId peer;
     private volatile Incarnation incarnation;
-    private long lastHeardNanoseconds;
-    private long lastCallNanoseconds;
-    private boolean probed;
+    private long lastReceivedNanoseconds;
+    private long lastUsedNanoseconds;
+    private boolean probeSent;
     private Throwable failure;
 
     private LinkHandler(
@@ -49,12 +49,12 @@
             NodeId expectedPeer,
             MeshListener listener,
             long silenceMilliseconds,
-            BiConsumer<Channel, Throwable> onGone) {
+            BiConsumer<Channel, Throwable> onClosed) {
         this.hello = hello;
         this.expectedPeer = expectedPeer;
         this.listener = listener;
         this.silenceMilliseconds = silenceMilliseconds;
-        this.onGone = onGone;
+        this.onClosed = onClosed;
     }
 
     static LinkHandler inbound(MeshFrame hello, MeshListener listener) {
@@ -66,18 +66,21 @@
             NodeId expectedPeer,
             MeshListener listener,
             long silenceMilliseconds,
-            BiConsumer<Channel, Throwable> onGone) {
-        return new LinkHandler(hello, expectedPeer, listener, silenceMilliseconds, onGone);
+            BiConsumer<Channel, Throwable> onClosed) {
+        return new LinkHandler(hello, expectedPeer, listener, silenceMilliseconds, onClosed);
     }
 
-    /** The handler of a connection between two nodes. */
+    /** Returns the handler of a connection between two nodes. */
     static LinkHandler of(Channel channel) {
         return channel.pipeline().get(LinkHandler.class);
     }
 
-    /** When something was heard last, or the connection was opened. Event loop only. */
+    /**
+     * Returns when the last frame was received or, before that, the connection was opened. Event
+     * loop only.
+     */
     long lastReceivedNanoseconds() {
-        return lastHeardNanoseconds;
+        return lastReceivedNanoseconds;
     }
 
     @Override
@@ -93,8 +96,8 @@
     /**
      * {@inheritDoc}
      *
-     * <p>A connection whose peer reads too slowly is closed rather than that an answer on it is
-     * dropped in silence: the peer then asks again over another one.
+     * <p>Closes the connection if the peer reads too slowly: if the frame were dropped silently,
+     * the peer would wait for it; after a close it asks again over another connection.
      */
     @Override
     public boolean send(MeshFrame frame) {
@@ -114,8 +117,8 @@
     @Override
     public void channelActive(ChannelHandlerContext context) {
         channel = context.channel();
-        lastHeardNanoseconds = System.nanoTime();
-        lastCallNanoseconds = lastHeardNanoseconds;
+        lastReceivedNanoseconds = System.nanoTime();
+        lastUsedNanoseconds = lastReceivedNanoseconds;
         context.writeAndFlush(hello);
         if (silenceMilliseconds > 0) {
             scheduleSilenceCheck(context);
@@ -124,21 +127,21 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, MeshFrame frame) {
-        lastHeardNanoseconds = System.nanoTime();
-        probed = false;
+        lastReceivedNanoseconds = System.nanoTime();
+        probeSent = false;
         if (frame.hasHello()) {
             onHello(context, frame.getHello());
         } else if (peer == null) {
-            fail(context, new IllegalStateException("a frame came before the first one, hello"));
+            fail(context, new IllegalStateException("a frame was received before Hello"));
         } else {
-            noteUse(frame);
+            recordUse(frame);
             listener.onFrame(this, frame);
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        onGone.accept(context.channel(), failure);
+        onClosed.accept(context.channel(), failure);
     }
 
     @Override
@@ -147,24 +150,24 @@
     }
 
     private void onHello(ChannelHandlerContext context, Hello received) {
-        NodeId named = new NodeId(received.getNodeId());
-        if (expectedPeer != null && !expectedPeer.equals(named)) {
+        NodeId actualPeer = new NodeId(received.getNodeId());
+        if (expectedPeer != null && !expectedPeer.equals(actualPeer)) {
             fail(
                     context,
                     new MeshException(
                             Step.CONNECT,
                             expectedPeer,
-                            "another node answered at its address: " + named,
+                            "another node answered at this address: " + actualPeer,
                             null));
             return;
         }
         incarnation = new Incarnation(received.getIncarnation());
-        peer = named;
+        peer = actualPeer;
     }
 
-    private void noteUse(MeshFrame frame) {
+    private void recordUse(MeshFrame frame) {
         if (!frame.hasLoadProbeAnswer()) {
-            lastCallNanoseconds = lastHeardNanoseconds;
+            lastUsedNanoseconds = lastReceivedNanoseconds;
         }
     }
 
@@ -181,10 +184,10 @@
             return;
         }
         long now = System.nanoTime();
-        long silentMilliseconds = TimeUnit.NANOSECONDS.toMillis(now - lastHeardNanoseconds);
-        if (TimeUnit.NANOSECONDS.toMillis(now - lastCallNanoseconds) > IDLE_CLOSE_MILLISECONDS) {
+        long silentMilliseconds = TimeUnit.NANOSECONDS.toMillis(now - lastReceivedNanoseconds);
+        if (TimeUnit.NANOSECONDS.toMillis(now - lastUsedNanoseconds) > IDLE_CLOSE_MILLISECONDS) {
             context.close();
-        } else if (probed && silentMilliseconds >= silenceMilliseconds) {
+        } else if (probeSent && silentMilliseconds >= silenceMilliseconds) {
             fail(context, new TimeoutException("silent_milliseconds=" + silentMilliseconds));
         } else {
             probeWhenSilent(context, silentMilliseconds);
@@ -192,8 +195,8 @@
     }
 
     private void probeWhenSilent(ChannelHandlerContext context, long silentMilliseconds) {
-        if (!probed && silentMilliseconds >= silenceMilliseconds / 2) {
-            probed = true;
+        if (!probeSent && silentMilliseconds >= silenceMilliseconds / 2) {
+            probeSent = true;
             context.writeAndFlush(PROBE);
         }
         scheduleSilenceCheck(context);
--- a/mesh/src/main/java/org/damaskmoor/mesh/internal/LinkInitializer.java
+++ b/mesh/src/main/java/org/damaskmoor/mesh/internal/LinkInitializer.java
@@ -19,13 +19,17 @@
 import org.damaskmoor.schema.mesh.MeshFrame;
 
 /**
- * Sets up the handlers of a connection between two nodes: TLS, frame length, protobuf, link.
+ * Sets up the pipeline of a connection between two nodes: TLS, frame length, protobuf, {@link
+ * LinkHandler}.
  *
  * <p>Immutable and thread-safe.
  */
 public final class LinkInitializer {
-    /** Bounds on what one connection holds unsent: it takes no more above the second one. */
-    public static final WriteBufferWaterMark UNSENT_BYTES =
+    /**
+     * Low and high water mark of a connection's unsent bytes; above the high one it accepts no more
+     * frames.
+     */
+    public static final WriteBufferWaterMark WRITE_BUFFER_BYTES =
             new WriteBufferWaterMark(1024 * 1024, 4 * 1024 * 1024);
 
     private static final int LENGTH_FIELD_BYTES = 4;
@@ -41,7 +45,7 @@
         this.customizer = customizer;
     }
 
-    /** For connections that other nodes open to this one. */
+    /** Returns an initializer for connections that other nodes open to this one. */
     public ChannelInitializer<Channel> forInbound() {
         return initializer(
                 channel -> {
@@ -52,9 +56,12 @@
                 });
     }
 
-    /** For a connection that this node opens to the peer; {@code onGone} runs when it is closed. */
+    /**
+     * Returns an initializer for a connection that this node opens to the peer; {@code onClosed}
+     * runs when it is closed.
+     */
     public ChannelInitializer<Channel> forOutbound(
-            NodeId peer, InetSocketAddress remote, BiConsumer<Channel, Throwable> onGone) {
+            NodeId peer, InetSocketAddress remote, BiConsumer<Channel, Throwable> onClosed) {
         return initializer(
                 channel -> {
                     customizer.customize(channel, remote);
@@ -63,7 +70,7 @@
                     addCodec(
                             channel,
                             LinkHandler.outbound(
-                                    hello(), peer, listener, silenceMilliseconds, onGone));
+                                    hello(), peer, listener, silenceMilliseconds, onClosed));
                 });
     }
 
--- a/mesh/src/main/java/org/damaskmoor/mesh/internal/PeerLinks.java
+++ b/mesh/src/main/java/org/damaskmoor/mesh/internal/PeerLinks.java
@@ -20,13 +20,13 @@
 import org.damaskmoor.schema.mesh.MeshFrame;
 
 /**
- * The connections that this node opened to one peer: the current one, and what waits for it.
+ * The outbound connections to one peer and the frames that wait for the current one.
  *
  * <p>Confined to the mesh event loop. Invariant: frames wait only while a connection is being
  * opened.
  */
 public final class PeerLinks {
-    /** Stands for any connection, however long nothing was heard on it. */
+    /** Accepts any connection, however long nothing was received on it. */
     public static final long ANY_CONNECTION = Long.MIN_VALUE;
 
     private final NodeId peer;
@@ -53,7 +53,7 @@
         this.loop = loop;
     }
 
-    /** Writes the frame, or keeps it until the connection being opened is ready. */
+    /** Writes the frame, or queues it until the connection being opened is ready. */
     public void send(InetSocketAddress address, MeshFrame frame, long aliveAfterNanoseconds) {
         if (opening == null && isUsable(aliveAfterNanoseconds)) {
             writeToCurrent(frame);
@@ -69,7 +69,7 @@
         }
     }
 
-    /** Sends what was written since the last call. */
+    /** Flushes the frames written since the last call. */
     public void flush() {
         if (unflushed && current != null) {
             current.flush();
@@ -77,7 +77,9 @@
         unflushed = false;
     }
 
-    /** True when nothing is open and nothing waits, so that this object can be dropped. */
+    /**
+     * Returns whether no connection is open and no frame waits, so that this object can be dropped.
+     */
     public boolean isIdle() {
         return opening == null && waiting.isEmpty() && (current == null || !current.isOpen());
     }
@@ -96,11 +98,13 @@
                         .group(loop)
                         .channel(NioSocketChannel.class)
                         .option(ChannelOption.TCP_NODELAY, true)
-                        .option(ChannelOption.WRITE_BUFFER_WATER_MARK, LinkInitializer.UNSENT_BYTES)
+                        .option(
+                                ChannelOption.WRITE_BUFFER_WATER_MARK,
+                                LinkInitializer.WRITE_BUFFER_BYTES)
                         .option(
                                 ChannelOption.CONNECT_TIMEOUT_MILLIS,
                                 (int) settings.connectTimeout().toMillis())
-                        .handler(initializer.forOutbound(peer, address, this::onGone))
+                        .handler(initializer.forOutbound(peer, address, this::onClosed))
                         .connect(address);
         opening.addListener(done -> loop.execute(() -> onOpened((ChannelFuture) done)));
     }
@@ -143,14 +147,15 @@
         current.write(frame).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
     }
 
-    private void onGone(Channel channel, Throwable cause) {
+    private void onClosed(Channel channel, Throwable cause) {
         if (channel == current) {
             current = null;
         }
         Long replaced = replacedAt.remove(channel);
         long lastUsed = replaced == null ? System.nanoTime() : replaced;
         MeshException failure =
-                new MeshException(Step.READ, peer, "the connection is gone, cause=" + cause, cause);
+                new MeshException(
+                        Step.READ, peer, "the connection was closed, cause=" + cause, cause);
         listener.onLinkLost(peer, lastUsed, failure);
     }
 
--- a/mesh/src/main/java/org/damaskmoor/mesh/ring/BoundedMailbox.java
+++ b/mesh/src/main/java/org/damaskmoor/mesh/ring/BoundedMailbox.java
@@ -7,7 +7,7 @@
 import org.jctools.queues.MpscArrayQueue;
 
 /**
- * Hands messages from any thread to the one thread of a duty, through a bounded ring.
+ * Passes messages from any thread to one consumer thread, through a bounded ring buffer.
  *
  * <p>Example:
  *
@@ -20,17 +20,17 @@
  * }</pre>
  *
  * <p>Thread safety: {@link #offer} may be called from any thread; the consumer runs only on the
- * duty's thread. Invariant: a message that was accepted is consumed exactly once, in the order of
- * its producer.
+ * consumer thread. Invariant: an accepted message is consumed exactly once, and messages of one
+ * producer are consumed in order.
  *
  * @param <T> the type of the messages
  */
 public final class BoundedMailbox<T> {
-    /** Messages consumed in one go before other tasks of the duty get their turn. */
-    private static final int BATCH_MESSAGES = 256;
+    /** Messages consumed before other tasks of the consumer thread may run. */
+    private static final int MAXIMUM_BATCH_MESSAGES = 256;
 
     private final MpscArrayQueue<T> ring;
-    private final Executor duty;
+    private final Executor executor;
     private final Consumer<T> consumer;
     private final Runnable afterBatch;
     private final AtomicBoolean scheduled = new AtomicBoolean();
@@ -38,14 +38,15 @@
     /**
      * Creates an empty mailbox.
      *
-     * @param capacity most messages waiting
-     * @param duty runs a task on the duty's thread
-     * @param consumer takes each message, on the duty's thread
-     * @param afterBatch runs after each batch, on the duty's thread
+     * @param capacity maximum number of waiting messages
+     * @param executor runs a task on the consumer thread
+     * @param consumer receives each message, on the consumer thread
+     * @param afterBatch runs after each batch, on the consumer thread
      */
-    public BoundedMailbox(int capacity, Executor duty, Consumer<T> consumer, Runnable afterBatch) {
+    public BoundedMailbox(
+            int capacity, Executor executor, Consumer<T> consumer, Runnable afterBatch) {
         this.ring = new MpscArrayQueue<>(capacity);
-        this.duty = Objects.requireNonNull(duty, "duty");
+        this.executor = Objects.requireNonNull(executor, "executor");
         this.consumer = Objects.requireNonNull(consumer, "consumer");
         this.afterBatch = Objects.requireNonNull(afterBatch, "afterBatch");
     }
@@ -63,14 +64,14 @@
         return true;
     }
 
-    /** Messages waiting at this instant; an estimate while producers are active. */
+    /** Returns the number of waiting messages; an estimate while producers are active. */
     public int size() {
         return ring.size();
     }
 
     private void scheduleDrain() {
         if (scheduled.compareAndSet(false, true)) {
-            duty.execute(this::drain);
+            executor.execute(this::drain);
         }
     }
 
@@ -87,7 +88,7 @@
     }
 
     private void consumeBatch() {
-        for (int i = 0; i < BATCH_MESSAGES; i++) {
+        for (int i = 0; i < MAXIMUM_BATCH_MESSAGES; i++) {
             T message = ring.poll();
             if (message == null) {
                 return;
--- a/mesh/src/test/java/org/damaskmoor/mesh/NettyMeshTransportTest.java
+++ b/mesh/src/test/java/org/damaskmoor/mesh/NettyMeshTransportTest.java
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void should_carry_every_frame_in_order_when_frames_wait_for_the_first_connection()
+    void should_deliver_every_frame_in_order_when_frames_wait_for_the_first_connection()
             throws Exception {
         // when
         for (int i = 1; i <= FRAMES; i++) {
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void should_tell_that_a_frame_was_not_sent_when_nobody_listens() throws Exception {
+    void should_report_an_unsent_frame_when_nobody_listens() throws Exception {
         // given
         MeshPeer nobody = new MeshPeer(new NodeId("nobody"), freeAddress());
 
@@ -75,8 +75,7 @@
     }
 
     @Test
-    void should_tell_that_the_connection_is_lost_when_another_node_has_the_address()
-            throws Exception {
+    void should_report_a_lost_connection_when_another_node_has_the_address() throws Exception {
         // given
         MeshPeer replaced = new MeshPeer(new NodeId("former"), peer.address());
 
@@ -88,7 +87,7 @@
     }
 
     @Test
-    void should_keep_a_bounded_number_of_bytes_when_the_peer_does_not_read() throws Exception {
+    void should_bound_the_unsent_bytes_when_the_peer_does_not_read() throws Exception {
         // given
         MeshFrame large = largeFrame();
         try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
--- a/mesh/src/test/java/org/damaskmoor/mesh/gossip/GossipTransportTest.java
+++ b/mesh/src/test/java/org/damaskmoor/mesh/gossip/GossipTransportTest.java
@@ -21,12 +21,12 @@
                     .setPing(Ping.newBuilder().setTarget("besuch-2"))
                     .build();
 
-    private final LinkedBlockingQueue<GossipMessage> heard = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<GossipMessage> received = new LinkedBlockingQueue<>();
     private final GossipTransport sending =
             new GossipTransport(anyPort(), (message, from) -> {}, ChannelCustomizer.NONE);
     private final GossipTransport receiving =
             new GossipTransport(
-                    anyPort(), (message, from) -> heard.add(message), ChannelCustomizer.NONE);
+                    anyPort(), (message, from) -> received.add(message), ChannelCustomizer.NONE);
 
     private static InetSocketAddress anyPort() {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void should_hand_on_and_count_a_message_when_it_arrives() throws Exception {
+    void should_deliver_and_count_a_message_when_it_arrives() throws Exception {
         // given
         sending.start().join();
         InetSocketAddress address = receiving.start().join();
@@ -48,7 +48,7 @@
         sending.send(address, PING);
 
         // then
-        assertThat(heard.take()).isEqualTo(PING);
+        assertThat(received.take()).isEqualTo(PING);
         assertThat(receiving.traffic().receivedBytes(BodyCase.PING))
                 .isEqualTo(PING.getSerializedSize());
     }
@@ -62,12 +62,12 @@
         // when
         try (DatagramSocket socket = new DatagramSocket()) {
             socket.send(new DatagramPacket(malformed, malformed.length, address));
-            byte[] good = PING.toByteArray();
-            socket.send(new DatagramPacket(good, good.length, address));
+            byte[] wellFormed = PING.toByteArray();
+            socket.send(new DatagramPacket(wellFormed, wellFormed.length, address));
         }
 
         // then
-        assertThat(heard.take()).isEqualTo(PING);
+        assertThat(received.take()).isEqualTo(PING);
         assertThat(receiving.traffic().malformedDatagrams()).isEqualTo(1);
     }
 
--- a/mesh/src/test/java/org/damaskmoor/mesh/ring/BoundedMailboxTest.java
+++ b/mesh/src/test/java/org/damaskmoor/mesh/ring/BoundedMailboxTest.java
@@ -13,7 +13,7 @@
     private final List<Integer> consumed = new ArrayList<>();
 
     @Test
-    void should_consume_in_order_when_the_duty_runs() {
+    void should_consume_in_order_when_the_consumer_thread_runs() {
         // given
         BoundedMailbox<Integer> mailbox = mailbox(512);
         for (int i = 0; i < 500; i++) {
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void should_go_on_consuming_when_a_consumer_fails() {
+    void should_continue_consuming_when_a_consumer_fails() {
         // given
         BoundedMailbox<Integer> mailbox =
                 new BoundedMailbox<>(8, tasks::add, this::failOnZero, () -> {});
