--- a/node/src/main/java/org/damaskmoor/node/internal/control/AnnouncementParser.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/control/AnnouncementParser.java
@@ -8,7 +8,7 @@
 import org.damaskmoor.node.internal.target.UpstreamAddress;
 import org.damaskmoor.schema.mesh.UpstreamState;
 
-/** Reads and checks what an upstream announces. Stateless and thread-safe. */
+/** Parses and validates the announcements of an upstream. Stateless and thread-safe. */
 final class AnnouncementParser {
     private static final Pattern SERVICE = Pattern.compile("[a-z0-9][a-z0-9-]{0,62}");
     private static final Pattern ADDRESS = Pattern.compile("[0-9a-f.:]{2,45}");
--- a/node/src/main/java/org/damaskmoor/node/internal/control/ControlServer.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/control/ControlServer.java
@@ -21,10 +21,10 @@
 import org.damaskmoor.node.internal.target.Announcement;
 
 /**
- * The loopback port for the upstream beside this node and for its keepers: announcements, health,
- * readiness, metrics, drain.
+ * HTTP server on the loopback address for this node's upstream and for operators: announcements,
+ * health, readiness, metrics, drain.
  *
- * <p>Confined to the control event loop, but for {@link #start} and {@link #stop}.
+ * <p>Confined to the control event loop, except {@link #start} and {@link #stop}.
  */
 public final class ControlServer {
     private static final int MAXIMUM_BODY_BYTES = 16 * 1024;
@@ -46,11 +46,12 @@
      *
      * @param loop the control event loop
      * @param port the loopback port
-     * @param leaseMilliseconds told to upstreams as the time in which they must renew
-     * @param announcements takes what the upstream announces
-     * @param ready whether this node takes callers
+     * @param leaseMilliseconds time within which an upstream must renew its announcement; returned
+     *     to it
+     * @param announcements receives the upstream's announcements
+     * @param ready whether this node accepts callers
      * @param drain starts to drain the upstream
-     * @param metrics writes the metrics
+     * @param metrics formats the metrics
      */
     public ControlServer(
             Eventloop loop,
--- a/node/src/main/java/org/damaskmoor/node/internal/control/InvalidAnnouncementException.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/control/InvalidAnnouncementException.java
@@ -1,6 +1,6 @@
 package org.damaskmoor.node.internal.control;
 
-/** An announcement that can't be used; the message names the field. Immutable. */
+/** An announcement is invalid; the message names the field. Immutable. */
 final class InvalidAnnouncementException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/node/src/main/java/org/damaskmoor/node/internal/metrics/MetricsFormatter.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/metrics/MetricsFormatter.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Writes all metrics as Prometheus text or JSON.
+ * Formats all metrics as Prometheus text or JSON.
  *
  * <p>Thread-safe.
  */
@@ -26,24 +26,25 @@
         this.registry = registry;
     }
 
-    /** The metrics in Prometheus' text format; times in seconds. */
+    /** Returns the metrics in Prometheus' text format; times in seconds. */
     public String toPrometheusText() {
         StringBuilder text = new StringBuilder();
         for (NodeMetric metric : NodeMetric.values()) {
             text.append("# HELP ").append(metric.metricName()).append(' ');
             text.append(metric.description()).append("\n# TYPE ").append(metric.metricName());
             text.append(' ').append(metric.kind().name().toLowerCase(Locale.ROOT)).append('\n');
-            values(text, metric);
+            appendValues(text, metric);
         }
         return text.toString();
     }
 
-    private void values(StringBuilder text, NodeMetric metric) {
-        MetricFilter ofMetric = (name, each) -> isOf(metric, name);
-        registry.getCounters(ofMetric)
-                .forEach((name, counter) -> line(text, name, counter.getCount()));
-        registry.getGauges(ofMetric).forEach((name, gauge) -> line(text, name, gauge.getValue()));
-        registry.getTimers(ofMetric).forEach((name, timer) -> timer(text, name, timer));
+    private void appendValues(StringBuilder text, NodeMetric metric) {
+        MetricFilter filter = (name, each) -> isOf(metric, name);
+        registry.getCounters(filter)
+                .forEach((name, counter) -> appendLine(text, name, counter.getCount()));
+        registry.getGauges(filter)
+                .forEach((name, gauge) -> appendLine(text, name, gauge.getValue()));
+        registry.getTimers(filter).forEach((name, timer) -> timer(text, name, timer));
     }
 
     private static boolean isOf(NodeMetric metric, String name) {
@@ -51,7 +52,7 @@
         return metric.metricName().equals(labels < 0 ? name : name.substring(0, labels));
     }
 
-    /** The metrics as one JSON object; times in seconds. */
+    /** Returns the metrics as one JSON object; times in seconds. */
     public String toJson() {
         JsonObject json = new JsonObject();
         for (Map.Entry<String, Counter> entry : registry.getCounters().entrySet()) {
@@ -69,16 +70,16 @@
         return json.toString();
     }
 
-    private static void line(StringBuilder text, String name, Object value) {
+    private static void appendLine(StringBuilder text, String name, Object value) {
         text.append(name).append(' ').append(value).append('\n');
     }
 
     private static void timer(StringBuilder text, String name, Timer timer) {
         Snapshot snapshot = timer.getSnapshot();
-        line(text, name + "_count", timer.getCount());
-        line(text, name + "{quantile=\"0.5\"}", seconds(snapshot.getMedian()));
-        line(text, name + "{quantile=\"0.99\"}", seconds(snapshot.get99thPercentile()));
-        line(text, name + "{quantile=\"0.999\"}", seconds(snapshot.get999thPercentile()));
+        appendLine(text, name + "_count", timer.getCount());
+        appendLine(text, name + "{quantile=\"0.5\"}", seconds(snapshot.getMedian()));
+        appendLine(text, name + "{quantile=\"0.99\"}", seconds(snapshot.get99thPercentile()));
+        appendLine(text, name + "{quantile=\"0.999\"}", seconds(snapshot.get999thPercentile()));
     }
 
     private static JsonObject timer(Timer timer) {
--- a/node/src/main/java/org/damaskmoor/node/internal/metrics/NodeGauges.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/metrics/NodeGauges.java
@@ -9,7 +9,7 @@
 import org.damaskmoor.schema.gossip.MemberState;
 import org.damaskmoor.schema.mesh.LoadReport;
 
-/** Registers what is read when the metrics are asked for. Thread-safe. */
+/** Registers gauges, whose values are read when metrics are requested. Thread-safe. */
 public final class NodeGauges {
     private final MetricRegistry registry;
 
@@ -17,20 +17,20 @@
         this.registry = registry;
     }
 
-    /** A value without label. */
+    /** Adds a gauge without labels. */
     public NodeGauges add(NodeMetric metric, Supplier<? extends Number> value) {
         register(metric.metricName(), value);
         return this;
     }
 
-    /** The load of the upstream beside this node. */
+    /** Adds gauges of the load of this node's upstream. */
     public NodeGauges addLoad(Supplier<LoadReport> load) {
         add(NodeMetric.UPSTREAM_IN_FLIGHT, () -> load.get().getInFlight());
         add(NodeMetric.UPSTREAM_QUEUED, () -> load.get().getQueued());
         return add(NodeMetric.UPSTREAM_LIMIT, () -> load.get().getLimit());
     }
 
-    /** Known nodes by state. */
+    /** Adds gauges of the known nodes by state. */
     public NodeGauges addMembers(java.util.function.ToLongFunction<MemberState> count) {
         for (MemberState state : new MemberState[] {MemberState.ALIVE, MemberState.SUSPECT}) {
             String name = state.name().toLowerCase(Locale.ROOT);
@@ -39,7 +39,7 @@
         return this;
     }
 
-    /** Bytes of gossip by kind of message. */
+    /** Adds gauges of the gossip bytes sent by kind of message. */
     public NodeGauges addGossip(GossipTraffic traffic) {
         for (BodyCase kind : BodyCase.values()) {
             String name = kind.name().toLowerCase(Locale.ROOT).replace('_', '-');
--- a/node/src/main/java/org/damaskmoor/node/internal/metrics/NodeMetrics.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/metrics/NodeMetrics.java
@@ -12,7 +12,8 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * Counts how requests end. Names and units stand in docs/OPERATIONS.md.
+ * Counts request outcomes and logs refused and unknown ones. docs/OPERATIONS.md lists names and
+ * units.
  *
  * <p>Thread-safe.
  */
--- a/node/src/main/java/org/damaskmoor/node/internal/operator/ChangeResponses.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/operator/ChangeResponses.java
@@ -18,14 +18,17 @@
 import org.damaskmoor.schema.operator.Fault;
 import org.damaskmoor.schema.operator.Faults;
 
-/** Turns what became of a change into a response or a status with trailers. Stateless. */
+/**
+ * Converts the outcome of a configuration change into a response or a gRPC status with trailers.
+ * Stateless.
+ */
 final class ChangeResponses {
-    private static final int FAULT_BYTES = 256 * 1024;
-    private static final int OVERHEAD_BYTES = 16;
+    private static final int MAXIMUM_FAULT_BYTES = 256 * 1024;
+    private static final int FAULT_OVERHEAD_BYTES = 16;
 
     private ChangeResponses() {}
 
-    /** The response of an accepted change; throws the status of any other outcome. */
+    /** Returns the response to an accepted change; throws the status of any other outcome. */
     static ApplyServiceResponse responseOf(ChangeOutcome outcome, ChangeRequest request) {
         if (outcome instanceof Accepted accepted) {
             return ApplyServiceResponse.newBuilder()
@@ -44,7 +47,7 @@
         if (outcome instanceof Unknown unknown) {
             throw withOutcome(
                     Status.UNKNOWN.withDescription(
-                            "The platform's table gave no answer after the write was sent, so the"
+                            "The platform's table service did not answer the write, so the"
                                     + " change may be in force. Repeat it with the same operation"
                                     + " id: "
                                     + unknown.operationId()),
@@ -65,11 +68,11 @@
                         .build());
         String expected = "The change expected version " + request.expectedVersion() + ", but ";
         return Status.FAILED_PRECONDITION
-                .withDescription(expected + standing(inForce))
+                .withDescription(expected + describeVersion(inForce))
                 .asRuntimeException(trailers);
     }
 
-    private static String standing(VersionedConfiguration inForce) {
+    private static String describeVersion(VersionedConfiguration inForce) {
         if (inForce.getVersion() == 0) {
             return "there is no such service.";
         }
@@ -96,17 +99,17 @@
                 .asRuntimeException(trailers);
     }
 
-    /** All faults, or as many as trailers may hold and how many were left out. */
+    /** Returns all faults, or as many as fit into trailers and the number of the rest. */
     private static Faults faults(Invalid invalid) {
         Faults.Builder faults = Faults.newBuilder();
         int bytes = 0;
         for (ConfigurationFault fault : invalid.faults()) {
             Fault next =
                     Fault.newBuilder().setField(fault.field()).setProblem(fault.problem()).build();
-            bytes += next.getSerializedSize() + OVERHEAD_BYTES;
-            if (bytes > FAULT_BYTES) {
-                int left = invalid.faults().size() - faults.getFaultsCount();
-                return faults.addFaults(Fault.newBuilder().setProblem(left + " more faults"))
+            bytes += next.getSerializedSize() + FAULT_OVERHEAD_BYTES;
+            if (bytes > MAXIMUM_FAULT_BYTES) {
+                int omitted = invalid.faults().size() - faults.getFaultsCount();
+                return faults.addFaults(Fault.newBuilder().setProblem(omitted + " more faults"))
                         .build();
             }
             faults.addFaults(next);
--- a/node/src/main/java/org/damaskmoor/node/internal/operator/DrainHandler.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/operator/DrainHandler.java
@@ -8,7 +8,7 @@
 import org.damaskmoor.schema.gossip.MemberRecord;
 import org.damaskmoor.schema.operator.DrainNodeResponse;
 
-/** Starts to drain the upstream beside this node. Thread-safe. */
+/** Handles operators' drain calls: starts to drain the upstream of this node. Thread-safe. */
 public final class DrainHandler {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
@@ -17,10 +17,10 @@
     private final Runnable drain;
 
     /**
-     * Creates the call.
+     * Creates the handler.
      *
      * @param self this node
-     * @param members where other nodes are
+     * @param members directory of the other nodes' addresses
      * @param drain starts to drain, from any thread
      */
     public DrainHandler(NodeId self, MemberDirectory members, Runnable drain) {
@@ -34,7 +34,9 @@
             logger.atInfo().log("event=drain-started node=%s step=operator-call", self);
             drain.run();
             return CompletableFuture.completedFuture(
-                    response(true, "It takes no new work and finishes what is in flight."));
+                    response(
+                            true,
+                            "The upstream accepts no new requests and finishes those in flight."));
         }
         MemberRecord member =
                 node.isEmpty()
--- a/node/src/main/java/org/damaskmoor/node/internal/operator/ExplainHandler.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/operator/ExplainHandler.java
@@ -19,7 +19,9 @@
 import org.damaskmoor.schema.operator.ExplainRequest;
 import org.damaskmoor.schema.operator.ExplainResponse;
 
-/** Tells operators why a request would go where it goes. Thread-safe. */
+/**
+ * Handles operators' explain calls: describes how a request would be routed and why. Thread-safe.
+ */
 public final class ExplainHandler {
     private static final double NANOSECONDS_PER_MILLISECOND = TimeUnit.MILLISECONDS.toNanos(1);
     private static final Comparator<CandidateEstimate> NEAREST_FIRST =
@@ -32,9 +34,9 @@
             entry;
 
     /**
-     * Creates the call.
+     * Creates the handler.
      *
-     * @param entry explains on the caller event loop; empty when there is no such service
+     * @param entry explains a request on the caller event loop; empty if there is no such service
      */
     public ExplainHandler(
             Function<RequestDescription, CompletableFuture<Optional<RequestExplanation>>> entry) {
@@ -49,9 +51,9 @@
         RequestDescription description =
                 new RequestDescription(
                         new ServiceName(service),
-                        orElse(request.getCaller(), MatchedService.UNIDENTIFIED_CALLER),
-                        orElse(request.getMethod(), "GET"),
-                        orElse(request.getPath(), "/"));
+                        valueOrDefault(request.getCaller(), MatchedService.UNIDENTIFIED_CALLER),
+                        valueOrDefault(request.getMethod(), "GET"),
+                        valueOrDefault(request.getPath(), "/"));
         return entry.apply(description)
                 .thenApply(
                         explained ->
@@ -102,7 +104,7 @@
     private static String decision(
             RequestExplanation explained, List<CandidateEstimate> candidates, String caller) {
         if (!explained.allowed()) {
-            return "Refused as not-allowed: the rule lets in "
+            return "Refused as not-allowed: the rule allows "
                     + String.join(
                             ", ", explained.rule().allowedCallers().stream().sorted().toList())
                     + ", not "
@@ -112,20 +114,22 @@
         long near = candidates.stream().filter(weight -> isOpen(weight, false)).count();
         long far = candidates.stream().filter(weight -> isOpen(weight, true)).count();
         if (near + far == 0) {
-            return "Refused: no upstream of the service takes new work.";
+            return "Refused: no upstream of the service accepts new requests.";
         }
         if (near == 0) {
-            return "Goes over the paid link, because no upstream in this region takes new work;"
+            return "Routed over the paid link, because no upstream in this region accepts new"
+                    + " requests;"
                     + " upstreams that do in other regions: "
                     + far
                     + ".";
         }
         String alsoFar =
                 explained.regionHeadroomGone()
-                        ? "; as this region is full, also over the paid link, upstreams there: "
+                        ? "; this region is full, so upstreams over the paid link are used too: "
                                 + far
                         : "";
-        return "Goes to the cheapest of a few sampled; upstreams here that take new work: "
+        return "Routed to the cheapest of a few sampled upstreams; those in this region that accept"
+                + " new requests: "
                 + near
                 + alsoFar
                 + ".";
@@ -135,8 +139,8 @@
         return weight.available() && (weight.distance() == Distance.REMOTE) == remote;
     }
 
-    private static String orElse(String given, String otherwise) {
-        return given.isEmpty() ? otherwise : given;
+    private static String valueOrDefault(String given, String defaultValue) {
+        return given.isEmpty() ? defaultValue : given;
     }
 
     private static String lowerCase(Enum<?> value) {
--- a/node/src/main/java/org/damaskmoor/node/internal/operator/OperatorDependencies.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/operator/OperatorDependencies.java
@@ -11,16 +11,16 @@
 import org.damaskmoor.node.internal.target.TargetProxy;
 
 /**
- * The parts of a node that operators' calls reach. Immutable and thread-safe.
+ * Components of a node that handle operators' calls. Immutable and thread-safe.
  *
  * @param self this node
  * @param control runs tasks on the control event loop
- * @param configuration carries changes out, on that loop
- * @param membership the nodes, on that loop
- * @param members where other nodes are
- * @param entry explains where requests go
- * @param target the upstream's side
- * @param table the platform's table of services
+ * @param configuration applies configuration changes; used on that loop only
+ * @param membership the known nodes; used on that loop only
+ * @param members directory of the other nodes' addresses
+ * @param entry explains how requests are routed
+ * @param target load and draining of this node's upstream
+ * @param table the table of services at the platform
  */
 public record OperatorDependencies(
         NodeId self,
@@ -33,7 +33,7 @@
         ServiceTable table) {
     private static final ServiceName PROBED_SERVICE = new ServiceName("status-probe");
 
-    /** The service that answers operators with these parts. */
+    /** Creates the gRPC service of these components. */
     public OperatorService createService() {
         return new OperatorService(
                 new ServiceHandler(control, configuration, System::currentTimeMillis),
--- a/node/src/main/java/org/damaskmoor/node/internal/operator/OperatorServer.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/operator/OperatorServer.java
@@ -14,20 +14,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The port for operators: gRPC on one thread of its own.
+ * gRPC server for operators, on one thread of its own.
  *
  * <pre>{@code
  * OperatorServer server = new OperatorServer(address, Optional.empty(), service);
  * server.start().join();
  * }</pre>
  *
- * <p>Thread-safe. Invariant: calls never block that thread; the service hands them to the duties
- * that they concern.
+ * <p>Thread-safe. Invariant: calls never block that thread; the service passes them to the event
+ * loops that own the data.
  */
 public final class OperatorServer {
-    private static final int MESSAGE_BYTES = 1024 * 1024;
-    private static final int CALLS_PER_CONNECTION = 64;
-    private static final long STOP_SECONDS = 2;
+    private static final int MAXIMUM_MESSAGE_BYTES = 1024 * 1024;
+    private static final int MAXIMUM_CALLS_PER_CONNECTION = 64;
+    private static final long STOP_TIMEOUT_SECONDS = 2;
 
     private final NioEventLoopGroup group =
             new NioEventLoopGroup(1, new DefaultThreadFactory("operator", true));
@@ -36,9 +36,9 @@
     /**
      * Creates a server that does not listen yet.
      *
-     * @param address where operators connect to
+     * @param address address on which operators connect
      * @param security TLS, or empty for plain TCP
-     * @param service answers the calls
+     * @param service handles the calls
      */
     public OperatorServer(
             InetSocketAddress address, Optional<SslContext> security, BindableService service) {
@@ -47,8 +47,8 @@
                         .channelType(NioServerSocketChannel.class)
                         .bossEventLoopGroup(group)
                         .workerEventLoopGroup(group)
-                        .maxInboundMessageSize(MESSAGE_BYTES)
-                        .maxConcurrentCallsPerConnection(CALLS_PER_CONNECTION)
+                        .maxInboundMessageSize(MAXIMUM_MESSAGE_BYTES)
+                        .maxConcurrentCallsPerConnection(MAXIMUM_CALLS_PER_CONNECTION)
                         .directExecutor()
                         .addService(service);
         security.ifPresent(builder::sslContext);
@@ -65,12 +65,12 @@
         }
     }
 
-    /** The port that is open; useful when port 0 was asked for. */
+    /** Returns the port that is open; useful when port 0 was requested. */
     public int port() {
         return server.getPort();
     }
 
-    /** Takes no more calls and closes the port; open calls have two seconds to end. */
+    /** Accepts no more calls and closes the port; open calls have two seconds to end. */
     public CompletableFuture<Void> stop() {
         server.shutdown();
         return CompletableFuture.runAsync(this::awaitEnd);
@@ -78,12 +78,12 @@
 
     private void awaitEnd() {
         try {
-            if (!server.awaitTermination(STOP_SECONDS, TimeUnit.SECONDS)) {
+            if (!server.awaitTermination(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 server.shutdownNow();
             }
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
-        group.shutdownGracefully(0, STOP_SECONDS, TimeUnit.SECONDS).syncUninterruptibly();
+        group.shutdownGracefully(0, STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS).syncUninterruptibly();
     }
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/operator/OperatorService.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/operator/OperatorService.java
@@ -23,8 +23,8 @@
 import org.damaskmoor.schema.operator.OperatorServiceGrpc;
 
 /**
- * Operators' calls as gRPC hands them over. Each method passes its call on and answers when the
- * result is there.
+ * gRPC service for operators. Each method delegates to a handler and responds when its result is
+ * available.
  *
  * <p>Thread-safe.
  */
@@ -49,44 +49,49 @@
 
     @Override
     public void applyService(
-            ApplyServiceRequest request, StreamObserver<ApplyServiceResponse> caller) {
-        answer("apply-service", () -> services.apply(request), caller);
+            ApplyServiceRequest request, StreamObserver<ApplyServiceResponse> responseObserver) {
+        answer("apply-service", () -> services.apply(request), responseObserver);
     }
 
     @Override
     public void deleteService(
-            DeleteServiceRequest request, StreamObserver<ApplyServiceResponse> caller) {
-        answer("delete-service", () -> services.delete(request), caller);
+            DeleteServiceRequest request, StreamObserver<ApplyServiceResponse> responseObserver) {
+        answer("delete-service", () -> services.delete(request), responseObserver);
     }
 
     @Override
-    public void getService(GetServiceRequest request, StreamObserver<GetServiceResponse> caller) {
-        answer("get-service", () -> services.find(request.getName()), caller);
+    public void getService(
+            GetServiceRequest request, StreamObserver<GetServiceResponse> responseObserver) {
+        answer("get-service", () -> services.find(request.getName()), responseObserver);
     }
 
     @Override
     public void listServices(
-            ListServicesRequest request, StreamObserver<ListServicesResponse> caller) {
-        answer("list-services", services::list, caller);
+            ListServicesRequest request, StreamObserver<ListServicesResponse> responseObserver) {
+        answer("list-services", services::list, responseObserver);
     }
 
     @Override
-    public void getStatus(GetStatusRequest request, StreamObserver<GetStatusResponse> caller) {
-        answer("get-status", status::status, caller);
+    public void getStatus(
+            GetStatusRequest request, StreamObserver<GetStatusResponse> responseObserver) {
+        answer("get-status", status::status, responseObserver);
     }
 
     @Override
-    public void drainNode(DrainNodeRequest request, StreamObserver<DrainNodeResponse> caller) {
-        answer("drain-node", () -> drain.drain(request.getNodeId()), caller);
+    public void drainNode(
+            DrainNodeRequest request, StreamObserver<DrainNodeResponse> responseObserver) {
+        answer("drain-node", () -> drain.drain(request.getNodeId()), responseObserver);
     }
 
     @Override
-    public void explain(ExplainRequest request, StreamObserver<ExplainResponse> caller) {
-        answer("explain", () -> explain.explain(request), caller);
+    public void explain(ExplainRequest request, StreamObserver<ExplainResponse> responseObserver) {
+        answer("explain", () -> explain.explain(request), responseObserver);
     }
 
     private static <T> void answer(
-            String call, Supplier<CompletableFuture<T>> handler, StreamObserver<T> caller) {
+            String call,
+            Supplier<CompletableFuture<T>> handler,
+            StreamObserver<T> responseObserver) {
         CompletableFuture<T> result;
         try {
             result = handler.get();
@@ -97,10 +102,10 @@
                 result.whenComplete(
                         (response, failure) -> {
                             if (failure == null) {
-                                caller.onNext(response);
-                                caller.onCompleted();
+                                responseObserver.onNext(response);
+                                responseObserver.onCompleted();
                             } else {
-                                caller.onError(statusOf(call, failure));
+                                responseObserver.onError(statusOf(call, failure));
                             }
                         });
     }
--- a/node/src/main/java/org/damaskmoor/node/internal/operator/ServiceHandler.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/operator/ServiceHandler.java
@@ -18,9 +18,10 @@
 import org.damaskmoor.schema.operator.ListServicesResponse;
 
 /**
- * Operators' calls about services: they change the table and read what this node holds.
+ * Handles operators' calls that change services in the table and read the services that this node
+ * holds.
  *
- * <p>Thread-safe: everything is handed to the control event loop.
+ * <p>Thread-safe: all work runs on the control event loop.
  */
 public final class ServiceHandler {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -30,10 +31,10 @@
     private final LongSupplier epochMilliseconds;
 
     /**
-     * Creates the calls.
+     * Creates the handler.
      *
      * @param control runs tasks on the control event loop
-     * @param configuration carries changes out; used on that loop only
+     * @param configuration applies configuration changes; used on that loop only
      * @param epochMilliseconds the wall clock
      */
     public ServiceHandler(
--- a/node/src/main/java/org/damaskmoor/node/internal/operator/StatusHandler.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/operator/StatusHandler.java
@@ -20,7 +20,8 @@
 import org.damaskmoor.schema.operator.ServiceVersion;
 
 /**
- * Tells how this node sees all nodes, and who is behind.
+ * Handles operators' status calls: reports all nodes as this node sees them, and which of them hold
+ * an older configuration.
  *
  * <p>Thread-safe: membership and configuration are read on the control event loop.
  */
@@ -34,13 +35,13 @@
     private final Supplier<CompletableFuture<?>> platformProbe;
 
     /**
-     * Creates the call.
+     * Creates the handler.
      *
      * @param control runs tasks on the control event loop
-     * @param membership the nodes; used on that loop only
-     * @param configuration what they hold; used on that loop only
+     * @param membership the known nodes; used on that loop only
+     * @param configuration the configurations that the nodes hold; used on that loop only
      * @param ownLoad load of this node's upstream, from any thread
-     * @param platformProbe fails when the platform's table gives no answer
+     * @param platformProbe fails if the platform's table service does not answer
      */
     public StatusHandler(
             Executor control,
--- a/node/src/main/java/org/damaskmoor/node/internal/security/NodeTls.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/security/NodeTls.java
@@ -12,16 +12,16 @@
 import org.damaskmoor.schema.settings.NodeSettings;
 
 /**
- * Mutual TLS of a node. Immutable and thread-safe.
+ * Mutual TLS contexts of a node. Immutable and thread-safe.
  *
- * <p>Invariant: both sides of every connection must present a certificate of the authority.
+ * <p>Invariant: both sides of every connection must present a certificate signed by the authority.
  *
  * @param mesh for connections between nodes
  * @param operators for the operator port
  */
 public record NodeTls(MeshTls mesh, SslContext operators) {
     /**
-     * Reads the files that the settings name.
+     * Reads the certificate, key and authority files named in the settings.
      *
      * @return empty when the settings name none
      * @throws SettingsException when only some are named, or a file cannot be used
--- a/node/src/test/java/org/damaskmoor/node/internal/metrics/NodeMetricTest.java
+++ b/node/src/test/java/org/damaskmoor/node/internal/metrics/NodeMetricTest.java
@@ -10,7 +10,7 @@
 
 final class NodeMetricTest {
     @Test
-    void should_stand_in_the_operators_page_when_there_is_a_metric() throws IOException {
+    void should_document_every_metric_on_the_operations_page() throws IOException {
         // given
         String page = Files.readString(Path.of("..", "docs", "OPERATIONS.md"));
 
--- a/node/src/test/java/org/damaskmoor/node/internal/security/NodeTlsTest.java
+++ b/node/src/test/java/org/damaskmoor/node/internal/security/NodeTlsTest.java
@@ -54,16 +54,16 @@
     @TempDir static Path directory;
 
     private static TestCertificateAuthority authority;
-    private static TestCertificateAuthority stranger;
+    private static TestCertificateAuthority otherAuthority;
 
     private final List<NettyMeshTransport> transports = new ArrayList<>();
 
     @BeforeAll
-    static void makeCertificates() throws IOException, InterruptedException {
+    static void createCertificates() throws IOException, InterruptedException {
         authority = new TestCertificateAuthority(directory, "authority");
         authority.sign("node");
-        stranger = new TestCertificateAuthority(directory, "stranger");
-        stranger.sign("intruder");
+        otherAuthority = new TestCertificateAuthority(directory, "stranger");
+        otherAuthority.sign("intruder");
     }
 
     @AfterEach
@@ -72,12 +72,12 @@
     }
 
     @Test
-    void should_carry_frames_when_both_nodes_have_a_certificate_of_the_authority()
+    void should_deliver_frames_when_both_nodes_have_a_certificate_of_the_authority()
             throws Exception {
         // given
-        Received target = new Received();
-        MeshPeer peer = start(target, nodeSecurity().mesh());
-        NettyMeshTransport entry = transport("entry", 0, new Received(), nodeSecurity().mesh());
+        Recorder target = new Recorder();
+        MeshPeer peer = start(target, nodeTls().mesh());
+        NettyMeshTransport entry = transport("entry", 0, new Recorder(), nodeTls().mesh());
 
         // when
         entry.send(peer, FRAME);
@@ -101,16 +101,16 @@
     @Test
     void should_refuse_a_node_when_another_authority_signed_its_certificate() throws Exception {
         // given
-        SslContext ofStranger =
+        SslContext signedByOtherAuthority =
                 SslContextBuilder.forClient()
                         .keyManager(
-                                stranger.certificateFile("intruder").toFile(),
-                                stranger.keyFile("intruder").toFile())
+                                otherAuthority.certificateFile("intruder").toFile(),
+                                otherAuthority.keyFile("intruder").toFile())
                         .trustManager(authority.authorityFile().toFile())
                         .build();
 
         // then
-        shouldRefuse(ofStranger);
+        shouldRefuse(signedByOtherAuthority);
     }
 
     @Test
@@ -119,7 +119,7 @@
         OperatorServer server =
                 new OperatorServer(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                        Optional.of(nodeSecurity().operators()),
+                        Optional.of(nodeTls().operators()),
                         new OperatorServiceGrpc.OperatorServiceImplBase() {});
         server.start().join();
         SslContext withoutCertificate =
@@ -179,13 +179,15 @@
         assertThat(exitCode).isEqualTo(2);
     }
 
-    /** The refused node learns that its connection is lost; the target never sees its frame. */
+    /**
+     * Checks that the refused node reports a failure and that the target never receives its frame.
+     */
     private void shouldRefuse(SslContext client) throws Exception {
-        Received target = new Received();
-        MeshPeer peer = start(target, nodeSecurity().mesh());
-        Received entry = new Received();
+        Recorder target = new Recorder();
+        MeshPeer peer = start(target, nodeTls().mesh());
+        Recorder entry = new Recorder();
         NettyMeshTransport refused =
-                transport("entry", 0, entry, new MeshTls(nodeSecurity().mesh().server(), client));
+                transport("entry", 0, entry, new MeshTls(nodeTls().mesh().server(), client));
         refused.send(peer, FRAME);
         assertThat(entry.failures.poll(FAILED_TEST_SECONDS, TimeUnit.SECONDS)).isNotNull();
         assertThat(target.frames).isEmpty();
@@ -209,7 +211,7 @@
         }
     }
 
-    private MeshPeer start(Received listener, MeshTls security) throws IOException {
+    private MeshPeer start(Recorder listener, MeshTls security) throws IOException {
         int port = freePort();
         transport("target", port, listener, security).start().join();
         return new MeshPeer(TARGET, new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
@@ -239,7 +241,7 @@
         }
     }
 
-    private static NodeTls nodeSecurity() throws Exception {
+    private static NodeTls nodeTls() throws Exception {
         return NodeTls.read(settings()).orElseThrow();
     }
 
@@ -251,8 +253,8 @@
                 .build();
     }
 
-    /** Keeps what the mesh tells. */
-    private static final class Received implements MeshListener {
+    /** Records frames and failures. */
+    private static final class Recorder implements MeshListener {
         final BlockingQueue<MeshFrame> frames = new LinkedBlockingQueue<>();
         final BlockingQueue<MeshException> failures = new LinkedBlockingQueue<>();
 
--- a/node/src/test/java/org/damaskmoor/node/internal/security/TestCertificateAuthority.java
+++ b/node/src/test/java/org/damaskmoor/node/internal/security/TestCertificateAuthority.java
@@ -13,11 +13,11 @@
 import java.util.List;
 
 /**
- * An authority and certificates signed by it, as PEM files. The JDK has no public API that makes
- * certificates, so its own program {@code keytool} makes them when a test is set up.
+ * A certificate authority and certificates signed by it, as PEM files. They are created with the
+ * JDK's {@code keytool}, because the JDK has no public API that creates certificates.
  */
 final class TestCertificateAuthority {
-    /** The same for all, so that only the signature tells one authority from another. */
+    /** The same for all authorities, so that they differ in their signatures only. */
     private static final String SUBJECT = "CN=authority";
 
     private static final String PASSWORD = "test-only";
--- a/operator/src/main/java/org/damaskmoor/operator/ExitCode.java
+++ b/operator/src/main/java/org/damaskmoor/operator/ExitCode.java
@@ -1,14 +1,14 @@
 package org.damaskmoor.operator;
 
-/** How a command ends, as its caller's shell sees it. Immutable and thread-safe. */
+/** Exit code of a command. Immutable and thread-safe. */
 public enum ExitCode {
-    /** It did what was asked. */
+    /** The command succeeded. */
     SUCCESS(0),
-    /** It failed, and nothing was changed by it. */
+    /** The command failed and changed nothing. */
     FAILED(1),
     /** A flag, an argument or an environment variable has a bad value. */
     BAD_USAGE(2),
-    /** Another change came first. */
+    /** Another change was accepted first. */
     CONFLICT(3),
     /** The configuration has faults. */
     INVALID_CONFIGURATION(4),
@@ -23,7 +23,7 @@
         this.code = code;
     }
 
-    /** The number for the shell. */
+    /** Returns the process exit code. */
     public int code() {
         return code;
     }
--- a/operator/src/main/java/org/damaskmoor/operator/OperatorCli.java
+++ b/operator/src/main/java/org/damaskmoor/operator/OperatorCli.java
@@ -18,10 +18,11 @@
 import org.damaskmoor.operator.internal.command.StatusCommand;
 
 /**
- * The program damaskmoor-operator: reads a command line, runs it, and tells failures.
+ * Command-line interface of damaskmoor-operator: parses a command line, runs it, and reports
+ * failures.
  *
  * <pre>{@code
- * ExitCode code = new OperatorProgram(session).run("service", "list");
+ * ExitCode code = new OperatorCli(context).run("service", "list");
  * }</pre>
  *
  * <p>Confined to one thread.
@@ -29,10 +30,10 @@
 public final class OperatorCli {
     private static final String NAME = "damaskmoor-operator";
 
-    private final CommandContext session;
+    private final CommandContext context;
 
-    public OperatorCli(CommandContext session) {
-        this.session = session;
+    public OperatorCli(CommandContext context) {
+        this.context = context;
     }
 
     /** Runs one command line. */
@@ -40,33 +41,33 @@
         try {
             OperatorCommand command = commands().parse(arguments);
             if (command.help().isRequested()) {
-                command.help().show(session.output());
+                command.help().show(context.output());
                 return ExitCode.SUCCESS;
             }
-            return command.run(session);
+            return command.run(context);
         } catch (ParseException | SettingsException unusable) {
-            return tell(
+            return reportFailure(
                     ExitCode.BAD_USAGE,
                     "The command line or an environment variable is wrong; nothing was sent.",
                     unusable.getMessage(),
                     "See '" + NAME + " help' or the command's --help.");
         } catch (OperatorException failure) {
-            return tell(
+            return reportFailure(
                     failure.exitCode(), failure.getMessage(), failure.reason(), failure.advice());
         }
     }
 
-    private ExitCode tell(ExitCode code, String happened, String reason, String advice) {
-        session.notes().println(NAME + ": " + happened);
-        session.notes().println("why: " + reason);
-        session.notes().println("what to do: " + advice);
+    private ExitCode reportFailure(ExitCode code, String happened, String reason, String advice) {
+        context.errorOutput().println(NAME + ": " + happened);
+        context.errorOutput().println("why: " + reason);
+        context.errorOutput().println("what to do: " + advice);
         return code;
     }
 
     private static Cli<OperatorCommand> commands() {
         CliBuilder<OperatorCommand> builder =
                 Cli.<OperatorCommand>builder(NAME)
-                        .withDescription("Changes and questions damaskmoor through any node.")
+                        .withDescription("Queries and changes damaskmoor through any node.")
                         .withDefaultCommand(HelpCommand.class)
                         .withCommands(
                                 List.of(
--- a/operator/src/main/java/org/damaskmoor/operator/OperatorClient.java
+++ b/operator/src/main/java/org/damaskmoor/operator/OperatorClient.java
@@ -28,7 +28,7 @@
 import org.damaskmoor.schema.settings.OperatorSettings;
 
 /**
- * Calls the operator port of one node and waits for the answers.
+ * Blocking client of one node's operator port.
  *
  * <pre>{@code
  * try (OperatorClient client = OperatorClient.open(settings)) {
@@ -51,7 +51,7 @@
     /**
      * Opens a client; the connection is made with the first call.
      *
-     * @throws SettingsException when the files for TLS are set by half or cannot be used
+     * @throws SettingsException if only some of the TLS files are set or a file cannot be used
      */
     public static OperatorClient open(OperatorSettings settings) throws SettingsException {
         return new OperatorClient(settings, Channels.open(settings));
@@ -60,8 +60,9 @@
     /**
      * Creates or changes a service.
      *
-     * @param expectedVersion the version that is to be replaced; 0: there must be no such service
-     * @param operationId the same id again is the same change
+     * @param expectedVersion the version to replace; 0 if the service must not exist yet
+     * @param operationId id of the change; repeating a change with the same id does not apply it
+     *     twice
      */
     public ApplyServiceResponse apply(
             ServiceConfiguration service, long expectedVersion, String operationId)
@@ -82,8 +83,9 @@
     /**
      * Deletes a service.
      *
-     * @param expectedVersion the version that is to be deleted
-     * @param operationId the same id again is the same change
+     * @param expectedVersion the version to delete
+     * @param operationId id of the change; repeating a change with the same id does not apply it
+     *     twice
      */
     public ApplyServiceResponse delete(String name, long expectedVersion, String operationId)
             throws OperatorException {
@@ -100,7 +102,7 @@
                 stub -> stub.deleteService(request));
     }
 
-    /** The configuration of a service that the node holds; empty when there is none. */
+    /** Returns the configuration of a service that the node holds; empty if there is none. */
     public Optional<VersionedConfiguration> find(String name) throws OperatorException {
         GetServiceRequest request = GetServiceRequest.newBuilder().setName(name).build();
         try {
@@ -109,34 +111,34 @@
             if (failure.getStatus().getCode() == Status.Code.NOT_FOUND) {
                 return Optional.empty();
             }
-            throw reader("show").toException(failure);
+            throw exceptionMapper("show").toException(failure);
         }
     }
 
-    /** The version of a service that the node holds; 0 when there is none. */
+    /** Returns the version of a service that the node holds; 0 if there is none. */
     public long versionInForce(String name) throws OperatorException {
         return find(name).map(VersionedConfiguration::getVersion).orElse(0L);
     }
 
-    /** All services that the node holds. */
+    /** Returns all services that the node holds. */
     public ListServicesResponse list() throws OperatorException {
-        return ask("list", stub -> stub.listServices(ListServicesRequest.getDefaultInstance()));
+        return invoke("list", stub -> stub.listServices(ListServicesRequest.getDefaultInstance()));
     }
 
-    /** How the node sees all nodes. */
+    /** Returns the status of all nodes as the called node sees them. */
     public GetStatusResponse status() throws OperatorException {
-        return ask("status", stub -> stub.getStatus(GetStatusRequest.getDefaultInstance()));
+        return invoke("status", stub -> stub.getStatus(GetStatusRequest.getDefaultInstance()));
     }
 
     /** Starts to drain the node, which must be the one that is called. */
     public DrainNodeResponse drain(String node) throws OperatorException {
         DrainNodeRequest request = DrainNodeRequest.newBuilder().setNodeId(node).build();
-        return ask("drain", stub -> stub.drainNode(request));
+        return invoke("drain", stub -> stub.drainNode(request));
     }
 
-    /** Why a request would go where it goes. */
+    /** Returns how the node would route a request, and why. */
     public ExplainResponse explain(ExplainRequest request) throws OperatorException {
-        return ask("explain", stub -> stub.explain(request));
+        return invoke("explain", stub -> stub.explain(request));
     }
 
     /** Closes the connection. */
@@ -145,12 +147,12 @@
         channel.shutdownNow();
     }
 
-    private <T> T ask(String step, Function<OperatorServiceBlockingStub, T> call)
+    private <T> T invoke(String step, Function<OperatorServiceBlockingStub, T> call)
             throws OperatorException {
         try {
             return call.apply(stub());
         } catch (StatusRuntimeException failure) {
-            throw reader(step).toException(failure);
+            throw exceptionMapper(step).toException(failure);
         }
     }
 
@@ -160,16 +162,19 @@
         try {
             return call.apply(stub());
         } catch (StatusRuntimeException failure) {
-            throw reader(step).toChangeException(failure, repetition);
+            throw exceptionMapper(step).toChangeException(failure, repetition);
         }
     }
 
-    /** Names the expected version too, so that a repetition replaces nothing unseen. */
+    /**
+     * Includes the expected version, so that a repeated change cannot replace a version that the
+     * operator has not seen.
+     */
     private static String repetition(String operationId, long expectedVersion) {
         return "--operation-id " + operationId + " --expected-version " + expectedVersion;
     }
 
-    private StatusExceptionMapper reader(String step) {
+    private StatusExceptionMapper exceptionMapper(String step) {
         return new StatusExceptionMapper(step, settings.getNode());
     }
 
--- a/operator/src/main/java/org/damaskmoor/operator/OperatorException.java
+++ b/operator/src/main/java/org/damaskmoor/operator/OperatorException.java
@@ -1,9 +1,6 @@
 package org.damaskmoor.operator;
 
-/**
- * A call that did not do what was asked: tells what happened, why, and what to do. Immutable and
- * thread-safe.
- */
+/** A command failed: says what happened, why, and what to do. Immutable and thread-safe. */
 public final class OperatorException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -12,11 +9,11 @@
     private final String advice;
 
     /**
-     * A failure.
+     * Creates the exception.
      *
-     * @param exitCode its kind
+     * @param exitCode the exit code of the command
      * @param happened what happened, with the step and the node
-     * @param reason why; may have several lines
+     * @param reason why it happened; may have several lines
      * @param advice what to do
      */
     public OperatorException(ExitCode exitCode, String happened, String reason, String advice) {
@@ -26,17 +23,17 @@
         this.advice = advice;
     }
 
-    /** Its kind. */
+    /** Returns the exit code of the command. */
     public ExitCode exitCode() {
         return exitCode;
     }
 
-    /** Why it happened. */
+    /** Returns why it happened. */
     public String reason() {
         return reason;
     }
 
-    /** What to do. */
+    /** Returns what the operator can do. */
     public String advice() {
         return advice;
     }
--- a/operator/src/main/java/org/damaskmoor/operator/OperatorMain.java
+++ b/operator/src/main/java/org/damaskmoor/operator/OperatorMain.java
@@ -12,8 +12,8 @@
 
     public static void main(String[] arguments) {
         TRANSPORT_LOGGER.setLevel(Level.SEVERE);
-        CommandContext session =
+        CommandContext context =
                 new CommandContext(System.getenv(), System.in, System.out, System.err);
-        System.exit(new OperatorCli(session).run(arguments).code());
+        System.exit(new OperatorCli(context).run(arguments).code());
     }
 }
--- a/operator/src/main/java/org/damaskmoor/operator/internal/call/Channels.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/call/Channels.java
@@ -11,9 +11,9 @@
 import org.damaskmoor.core.settings.TlsFiles;
 import org.damaskmoor.schema.settings.OperatorSettings;
 
-/** Opens channels to operator ports as the settings say. Stateless. */
+/** Opens gRPC channels to operator ports according to the settings. Stateless. */
 public final class Channels {
-    private static final int MESSAGE_BYTES = 64 * 1024 * 1024;
+    private static final int MAXIMUM_MESSAGE_BYTES = 64 * 1024 * 1024;
 
     private Channels() {}
 
@@ -21,7 +21,7 @@
     public static ManagedChannel open(OperatorSettings settings) throws SettingsException {
         NettyChannelBuilder builder =
                 NettyChannelBuilder.forTarget("dns:///" + settings.getNode())
-                        .maxInboundMessageSize(MESSAGE_BYTES)
+                        .maxInboundMessageSize(MAXIMUM_MESSAGE_BYTES)
                         .maxInboundMetadataSize(OperatorTrailers.METADATA_BYTES)
                         .disableRetry();
         Optional<TlsFiles> files =
@@ -30,14 +30,14 @@
                         settings.getTlsKeyFile(),
                         settings.getTlsAuthorityFile());
         if (files.isPresent()) {
-            builder.sslContext(security(files.get()));
+            builder.sslContext(sslContext(files.get()));
         } else {
             builder.usePlaintext();
         }
         return builder.build();
     }
 
-    private static SslContext security(TlsFiles files) throws SettingsException {
+    private static SslContext sslContext(TlsFiles files) throws SettingsException {
         try {
             return GrpcSslContexts.forClient()
                     .keyManager(files.certificate(), files.key())
--- a/operator/src/main/java/org/damaskmoor/operator/internal/call/StatusExceptionMapper.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/call/StatusExceptionMapper.java
@@ -15,19 +15,19 @@
 import org.damaskmoor.schema.operator.Faults;
 
 /**
- * Reads the status and trailers of a failed call.
+ * Converts the status and trailers of a failed call into an {@link OperatorException}.
  *
- * <p>Invariant: a change is called not accepted only when the node said so, or when no connection
- * was opened. Immutable and thread-safe.
+ * <p>Invariant: a change is reported as not accepted only if the node said so or no connection was
+ * opened. Immutable and thread-safe.
  */
 public final class StatusExceptionMapper {
     private final String step;
     private final String node;
 
     /**
-     * A reader.
+     * Creates a mapper for one call.
      *
-     * @param step what was tried, for example {@code apply}
+     * @param step the step that was called, for example {@code apply}
      * @param node the node that was called
      */
     public StatusExceptionMapper(String step, String node) {
@@ -35,21 +35,21 @@
         this.node = node;
     }
 
-    /** What the failure of a call that changes nothing means. */
+    /** Converts the failure of a call that changes nothing. */
     public OperatorException toException(StatusRuntimeException failure) {
         if (failure.getStatus().getCode() == Status.Code.NOT_FOUND) {
             return failed(failure, "Check the name: list the services, or ask for the status.");
         }
         return failed(
                 failure,
-                "Check that the node runs, that --node names its operator port, and that TLS is set"
-                        + " here as it is there.");
+                "Check that the node runs, that --node names its operator port, and that the"
+                        + " TLS settings here match those of the node.");
     }
 
     /**
-     * What the failure of a change means.
+     * Converts the failure of a change.
      *
-     * @param repetition the flags by which the same change is made again
+     * @param repetition the flags with which the same change can be repeated
      */
     public OperatorException toChangeException(StatusRuntimeException failure, String repetition) {
         Metadata trailers = failure.getTrailers();
@@ -66,8 +66,9 @@
         if (OperatorTrailers.NOT_ACCEPTED.equals(outcome) || neverSent(failure)) {
             return notAccepted(failure, repetition);
         }
-        if (refusedByTheTransport(failure)) {
-            return failed(failure, "Check that the client's and the node's versions fit.");
+        if (rejectedByTransport(failure)) {
+            return failed(
+                    failure, "Check that the client's and the node's versions are compatible.");
         }
         return unknown(failure, repetition);
     }
@@ -102,7 +103,7 @@
                 ExitCode.INVALID_CONFIGURATION,
                 "The configuration was not accepted: it has faults.",
                 "These fields are wrong:" + list,
-                "Mend them and apply again; nothing was changed.");
+                "Correct them and apply again; nothing was changed.");
     }
 
     private OperatorException notAccepted(StatusRuntimeException failure, String repetition) {
@@ -120,7 +121,8 @@
                 description(failure),
                 "Repeat the same command with "
                         + repetition
-                        + ": the change is then made once, whichever way it went.");
+                        + ": the change is then applied once, whether or not it was accepted"
+                        + " before.");
     }
 
     private OperatorException failed(StatusRuntimeException failure, String advice) {
@@ -143,7 +145,7 @@
                 : text + " (" + cause.getMessage() + ")";
     }
 
-    /** Whether no connection could be opened, so that nothing was sent. */
+    /** Returns whether no connection could be opened, so that nothing was sent. */
     private static boolean neverSent(StatusRuntimeException failure) {
         if (failure.getStatus().getCode() != Status.Code.UNAVAILABLE) {
             return false;
@@ -158,8 +160,8 @@
         return false;
     }
 
-    /** Whether the call was turned away before the node looked at it. */
-    private static boolean refusedByTheTransport(StatusRuntimeException failure) {
+    /** Returns whether the transport rejected the call before the node processed it. */
+    private static boolean rejectedByTransport(StatusRuntimeException failure) {
         return switch (failure.getStatus().getCode()) {
             case UNIMPLEMENTED, RESOURCE_EXHAUSTED, UNAUTHENTICATED, PERMISSION_DENIED -> true;
             default -> false;
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/ChangeFlags.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/ChangeFlags.java
@@ -7,7 +7,7 @@
 import org.damaskmoor.operator.OperatorClient;
 import org.damaskmoor.operator.OperatorException;
 
-/** The flags of commands that change a service. Confined to one thread. */
+/** Flags of commands that change a service. Confined to one thread. */
 public final class ChangeFlags {
     private static final String EXPECTED_VERSION = "--expected-version";
 
@@ -15,7 +15,7 @@
             name = EXPECTED_VERSION,
             title = "version",
             description =
-                    "The version that is to be replaced; 0: there must be no such service."
+                    "The version to replace; 0: the service must not exist yet."
                             + " Default: the version that the node holds.")
     private String expectedVersion;
 
@@ -23,7 +23,7 @@
             name = "--operation-id",
             title = "id",
             description =
-                    "Name of this change; a repetition with the same name is the same change."
+                    "Id of this change; repeating it with the same id does not apply it twice."
                             + " Default: a random one, which is printed.")
     private String operationId;
 
@@ -34,30 +34,31 @@
         }
     }
 
-    /** The id that was given or a random one, told in the notes before the change is sent. */
-    String operationId(CommandContext session) {
+    /** Returns the given id or a random one, and prints it before the change is sent. */
+    String operationId(CommandContext context) {
         String id = operationId == null ? UUID.randomUUID().toString() : operationId;
-        session.notes().println("operation id: " + id);
+        context.errorOutput().println("operation id: " + id);
         return id;
     }
 
-    /** The version that was given or the one that the node holds. */
-    long expectedVersion(OperatorClient client, String service, CommandContext session)
+    /** Returns the given version or the one that the node holds. */
+    long expectedVersion(OperatorClient client, String service, CommandContext context)
             throws OperatorException {
         if (expectedVersion != null) {
             return Long.parseLong(expectedVersion);
         }
-        long inForce = ask(client, service);
-        session.notes()
+        long inForce = queryVersionInForce(client, service);
+        context.errorOutput()
                 .println(
                         inForce == 0
-                                ? "expected version: 0, for the node holds no such service"
+                                ? "expected version: 0, because the node holds no such service"
                                 : "expected version: " + inForce + ", which the node holds");
         return inForce;
     }
 
-    /** A change that was never sent was certainly not accepted. */
-    private static long ask(OperatorClient client, String service) throws OperatorException {
+    /** Reports any failure as "not accepted", because the change has not been sent yet. */
+    private static long queryVersionInForce(OperatorClient client, String service)
+            throws OperatorException {
         try {
             return client.versionInForce(service);
         } catch (OperatorException failure) {
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/CommandContext.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/CommandContext.java
@@ -5,15 +5,15 @@
 import java.util.Map;
 
 /**
- * What surrounds one run of the program.
+ * Environment variables and standard streams of one run of the program.
  *
  * @param environment environment variables
  * @param input standard input
  * @param output standard output: results
- * @param notes standard error: progress and failures
+ * @param errorOutput standard error: progress and failures
  */
 public record CommandContext(
         Map<String, String> environment,
         InputStream input,
         PrintStream output,
-        PrintStream notes) {}
+        PrintStream errorOutput) {}
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/CompletionCommand.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/CompletionCommand.java
@@ -10,7 +10,7 @@
 import org.damaskmoor.operator.internal.completion.BashCompletion;
 
 /** Prints a script for shell completion. Confined to one thread. */
-@Command(name = "completion", description = "Prints a script by which bash completes commands.")
+@Command(name = "completion", description = "Prints a completion script for bash.")
 @Examples(
         examples = "source <(damaskmoor-operator completion bash)",
         descriptions = "Completes commands and flags in this shell.")
@@ -29,11 +29,11 @@
     }
 
     @Override
-    public ExitCode run(CommandContext session) throws SettingsException {
+    public ExitCode run(CommandContext context) throws SettingsException {
         if (!shell.equals(BASH)) {
             throw NodeCallCommand.invalidValue("shell", shell, BASH);
         }
-        session.output().print(new BashCompletion(program).script());
+        context.output().print(new BashCompletion(program).script());
         return ExitCode.SUCCESS;
     }
 }
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/DrainCommand.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/DrainCommand.java
@@ -13,21 +13,25 @@
 /** Drains a node. Confined to one thread. */
 @Command(
         name = "drain",
-        description = "Lets the upstream beside a node take no new work and finish what it has.")
+        description =
+                "Drains the upstream of a node: it accepts no new requests and finishes those in"
+                        + " flight.")
 @Examples(
         examples = "damaskmoor-operator drain besuch-3 --node 10.0.0.9:7403",
-        descriptions = "Calls the operator port of besuch-3 itself; its name guards from a slip.")
+        descriptions =
+                "Calls the operator port of besuch-3 itself; the name guards against draining"
+                        + " another node.")
 public final class DrainCommand extends NodeCallCommand {
     @Arguments(title = "node", description = "Id of the node, which must be the one called.")
     private String node;
 
     @Override
     void checkArguments() throws SettingsException {
-        require("node", node, "the id of the node that --node leads to");
+        require("node", node, "the id of the node that --node addresses");
     }
 
     @Override
-    ExitCode call(OperatorClient client, CommandContext session, ResponsePrinter output)
+    ExitCode call(OperatorClient client, CommandContext context, ResponsePrinter output)
             throws OperatorException {
         DrainNodeResponse response = client.drain(node);
         if (!response.getStarted()) {
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/ExplainCommand.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/ExplainCommand.java
@@ -11,15 +11,15 @@
 import org.damaskmoor.operator.internal.output.ResponsePrinter;
 import org.damaskmoor.schema.operator.ExplainRequest;
 
-/** Explains where a request would go. Confined to one thread. */
+/** Explains how a request would be routed. Confined to one thread. */
 @Command(
         name = "explain",
-        description = "Shows why a request would go where it goes, from the asked node.")
+        description = "Shows how the called node would route a request, and why.")
 @Examples(
         examples =
                 "damaskmoor-operator explain besuch --caller residence-7 --method POST"
                         + " --path /bookings",
-        descriptions = "Shows the rule that decides, and how each upstream is weighed now.")
+        descriptions = "Shows the matching rule and the current cost of each upstream.")
 public final class ExplainCommand extends NodeCallCommand {
     @Arguments(title = "service", description = "Name of the service.")
     private String service;
@@ -42,7 +42,7 @@
     }
 
     @Override
-    ExitCode call(OperatorClient client, CommandContext session, ResponsePrinter output)
+    ExitCode call(OperatorClient client, CommandContext context, ResponsePrinter output)
             throws OperatorException {
         ExplainRequest request =
                 ExplainRequest.newBuilder()
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/HelpCommand.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/HelpCommand.java
@@ -16,7 +16,7 @@
 import org.damaskmoor.core.settings.SettingsException;
 import org.damaskmoor.operator.ExitCode;
 
-/** Shows what the program can do. Confined to one thread. */
+/** Shows the help of the program or of one command. Confined to one thread. */
 @Command(name = "help", description = "Shows all commands, or one of them.")
 @Examples(
         examples = "damaskmoor-operator help service apply",
@@ -34,13 +34,13 @@
     }
 
     @Override
-    public ExitCode run(CommandContext session) throws SettingsException {
+    public ExitCode run(CommandContext context) throws SettingsException {
         if (!command.isEmpty() && !names().contains(command.get(0))) {
             throw NodeCallCommand.invalidValue(
                     "command", command.get(0), String.join(", ", names()));
         }
         try {
-            Help.help(program, command, session.output());
+            Help.help(program, command, context.output());
         } catch (IOException failure) {
             throw new UncheckedIOException(failure);
         }
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/HelpFlag.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/HelpFlag.java
@@ -11,7 +11,7 @@
 import java.io.UncheckedIOException;
 import java.util.List;
 
-/** The flag by which a command shows its own help. Confined to one thread. */
+/** The flag {@code --help}, which shows the help of a command. Confined to one thread. */
 public final class HelpFlag {
     @AirlineModule private GlobalMetadata<OperatorCommand> program;
     @AirlineModule private CommandMetadata command;
@@ -19,11 +19,11 @@
     @Option(
             name = {"-h", "--help"},
             description = "Shows what the command does, its flags, examples and exit codes.")
-    private boolean asked;
+    private boolean requested;
 
-    /** Whether help was asked for. */
+    /** Returns whether help was requested. */
     public boolean isRequested() {
-        return asked;
+        return requested;
     }
 
     /** Shows the help of the command. */
@@ -35,7 +35,7 @@
         }
     }
 
-    /** The words that lead to the command, its group first. */
+    /** Returns the name of the command, preceded by that of its group if it has one. */
     private List<String> path() {
         for (CommandGroupMetadata group : program.getCommandGroups()) {
             if (group.getCommands().contains(command)) {
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/NodeCallCommand.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/NodeCallCommand.java
@@ -20,8 +20,8 @@
         descriptions = {
             "Done.",
             "Failed; nothing was changed by this call.",
-            "A flag, an argument or an environment variable has a bad value; each is named.",
-            "Conflict: another change came first.",
+            "A flag, an argument or an environment variable has an invalid value; each is named.",
+            "Conflict: another change was accepted first.",
             "The configuration has faults; each is named with the path of its field.",
             "The change was certainly not accepted.",
             "It is unknown whether the change was accepted: repeat it with the same operation id."
@@ -30,7 +30,7 @@
         title = "Environment",
         suggestedOrder = 50,
         paragraphs = {
-            "A flag goes before its environment variable, which goes before the default:"
+            "A flag overrides its environment variable, which overrides the default:"
                     + " DAMASKMOOR_OPERATOR_NODE, DAMASKMOOR_OPERATOR_OUTPUT,"
                     + " DAMASKMOOR_OPERATOR_TIMEOUT_MILLISECONDS, DAMASKMOOR_OPERATOR_CHANGED_BY,"
                     + " DAMASKMOOR_OPERATOR_TLS_CERTIFICATE_FILE,"
@@ -46,31 +46,31 @@
     }
 
     @Override
-    public final ExitCode run(CommandContext session) throws SettingsException, OperatorException {
+    public final ExitCode run(CommandContext context) throws SettingsException, OperatorException {
         OperatorSettings settings =
                 SettingsReader.read(
-                        OperatorSettings.getDefaultInstance(), given(), session.environment());
+                        OperatorSettings.getDefaultInstance(), given(), context.environment());
         checkArguments();
         ResponsePrinter output =
-                new ResponsePrinter(session.output(), settings.getOutput().equals("json"));
+                new ResponsePrinter(context.output(), settings.getOutput().equals("json"));
         try (OperatorClient client = OperatorClient.open(settings)) {
-            return call(client, session, output);
+            return call(client, context, output);
         }
     }
 
-    /** Checks what the settings' schema does not know. */
+    /** Checks the arguments that the settings' schema does not cover. */
     void checkArguments() throws SettingsException {}
 
-    /** Calls the node and prints what it says. */
-    abstract ExitCode call(OperatorClient client, CommandContext session, ResponsePrinter output)
+    /** Calls the node and prints the response. */
+    abstract ExitCode call(OperatorClient client, CommandContext context, ResponsePrinter output)
             throws SettingsException, OperatorException;
 
-    /** A single fault of a flag or argument. */
+    /** Returns the exception for one invalid flag or argument. */
     static SettingsException invalidValue(String flag, String value, String allowed) {
         return new SettingsException(List.of(new SettingFault(flag, value, allowed)));
     }
 
-    /** The value of a flag or argument that must be there. */
+    /** Returns the value of a required flag or argument. */
     static String require(String flag, String value, String allowed) throws SettingsException {
         if (value == null || value.isEmpty()) {
             throw invalidValue(flag, "", allowed);
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/OperatorCommand.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/OperatorCommand.java
@@ -4,16 +4,16 @@
 import org.damaskmoor.operator.ExitCode;
 import org.damaskmoor.operator.OperatorException;
 
-/** One command of the program, filled in by Airline. Confined to one thread. */
+/** One command of the program; Airline sets its arguments. Confined to one thread. */
 public interface OperatorCommand {
-    /** The flag for help, which every command has. */
+    /** Returns the help flag, which every command has. */
     HelpFlag help();
 
     /**
-     * Does what is asked.
+     * Runs the command.
      *
-     * @throws SettingsException when a flag or an environment variable has a bad value
-     * @throws OperatorException when the call did not succeed
+     * @throws SettingsException if a flag or an environment variable has an invalid value
+     * @throws OperatorException if the call failed
      */
-    ExitCode run(CommandContext session) throws SettingsException, OperatorException;
+    ExitCode run(CommandContext context) throws SettingsException, OperatorException;
 }
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/ServiceApplyCommand.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/ServiceApplyCommand.java
@@ -32,20 +32,20 @@
             description = "The service as JSON (ServiceConfiguration); - reads standard input.")
     private String file;
 
-    @AirlineModule private ChangeFlags change = new ChangeFlags();
+    @AirlineModule private ChangeFlags changeFlags = new ChangeFlags();
 
     @Override
     void checkArguments() throws SettingsException {
         require("--file", file, "the name of a JSON file, or - for standard input");
-        change.validate();
+        changeFlags.validate();
     }
 
     @Override
-    ExitCode call(OperatorClient client, CommandContext session, ResponsePrinter output)
+    ExitCode call(OperatorClient client, CommandContext context, ResponsePrinter output)
             throws SettingsException, OperatorException {
-        ServiceConfiguration service = ServiceFile.read(file, session.input());
-        String operationId = change.operationId(session);
-        long expected = change.expectedVersion(client, service.getName(), session);
+        ServiceConfiguration service = ServiceFile.read(file, context.input());
+        String operationId = changeFlags.operationId(context);
+        long expected = changeFlags.expectedVersion(client, service.getName(), context);
         output.printChange("applied", client.apply(service, expected, operationId));
         return ExitCode.SUCCESS;
     }
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/ServiceDeleteCommand.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/ServiceDeleteCommand.java
@@ -25,19 +25,19 @@
     @Arguments(title = "service", description = "Name of the service.")
     private String name;
 
-    @AirlineModule private ChangeFlags change = new ChangeFlags();
+    @AirlineModule private ChangeFlags changeFlags = new ChangeFlags();
 
     @Override
     void checkArguments() throws SettingsException {
         require("service", name, "the name of a service");
-        change.validate();
+        changeFlags.validate();
     }
 
     @Override
-    ExitCode call(OperatorClient client, CommandContext session, ResponsePrinter output)
+    ExitCode call(OperatorClient client, CommandContext context, ResponsePrinter output)
             throws OperatorException {
-        String operationId = change.operationId(session);
-        long expected = change.expectedVersion(client, name, session);
+        String operationId = changeFlags.operationId(context);
+        long expected = changeFlags.expectedVersion(client, name, context);
         output.printChange("deleted", client.delete(name, expected, operationId));
         return ExitCode.SUCCESS;
     }
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/ServiceFile.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/ServiceFile.java
@@ -41,7 +41,7 @@
         } catch (InvalidProtocolBufferException unreadable) {
             throw new OperatorException(
                     ExitCode.INVALID_CONFIGURATION,
-                    "The file " + file + " was not understood; nothing was sent.",
+                    "The file " + file + " is not a valid ServiceConfiguration; nothing was sent.",
                     String.valueOf(unreadable.getMessage()),
                     "Write it as the JSON form of ServiceConfiguration; 'service show --output"
                             + " json' prints one under \"service\".");
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/ServiceListCommand.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/ServiceListCommand.java
@@ -11,10 +11,11 @@
 @Command(name = "list", description = "Lists the services that the node holds.")
 @Examples(
         examples = "damaskmoor-operator service list --node 10.0.0.7:7403",
-        descriptions = "A line for each service: version, who changed it when, hosts, rules.")
+        descriptions =
+                "A line for each service: version, who changed it and when, number of rules.")
 public final class ServiceListCommand extends NodeCallCommand {
     @Override
-    ExitCode call(OperatorClient client, CommandContext session, ResponsePrinter output)
+    ExitCode call(OperatorClient client, CommandContext context, ResponsePrinter output)
             throws OperatorException {
         output.printServices(client.list());
         return ExitCode.SUCCESS;
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/ServiceShowCommand.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/ServiceShowCommand.java
@@ -19,7 +19,7 @@
             "damaskmoor-operator service show besuch --output json"
         },
         descriptions = {
-            "Shows who changed it when, and the configuration as 'service apply' reads it.",
+            "Shows who changed it and when, and the configuration as 'service apply' reads it.",
             "Prints the VersionedConfiguration of the schema."
         })
 public final class ServiceShowCommand extends NodeCallCommand {
@@ -32,7 +32,7 @@
     }
 
     @Override
-    ExitCode call(OperatorClient client, CommandContext session, ResponsePrinter output)
+    ExitCode call(OperatorClient client, CommandContext context, ResponsePrinter output)
             throws OperatorException {
         Optional<VersionedConfiguration> found = client.find(name);
         if (found.isEmpty()) {
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/StatusCommand.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/StatusCommand.java
@@ -7,16 +7,18 @@
 import org.damaskmoor.operator.OperatorException;
 import org.damaskmoor.operator.internal.output.ResponsePrinter;
 
-/** Shows all nodes and who is behind. Confined to one thread. */
+/** Shows the status of all nodes. Confined to one thread. */
 @Command(
         name = "status",
-        description = "Shows all nodes as the asked one sees them, and who is behind.")
+        description =
+                "Shows all nodes as the called node sees them, and which are behind with the"
+                        + " configuration.")
 @Examples(
         examples = "damaskmoor-operator status --output json",
         descriptions = "Prints the GetStatusResponse of the schema, for tooling.")
 public final class StatusCommand extends NodeCallCommand {
     @Override
-    ExitCode call(OperatorClient client, CommandContext session, ResponsePrinter output)
+    ExitCode call(OperatorClient client, CommandContext context, ResponsePrinter output)
             throws OperatorException {
         output.printStatus(client.status());
         return ExitCode.SUCCESS;
--- a/operator/src/main/java/org/damaskmoor/operator/internal/completion/BashCompletion.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/completion/BashCompletion.java
@@ -13,7 +13,7 @@
 import org.damaskmoor.schema.settings.SettingsProto;
 
 /**
- * Writes the script by which bash completes commands, flags and values, from the command model.
+ * Generates the bash completion script for commands, flags and values from the command model.
  * Immutable and thread-safe.
  */
 public final class BashCompletion {
@@ -25,7 +25,7 @@
         this.program = program;
     }
 
-    /** The script, to be sourced. */
+    /** Returns the script, to be sourced by bash. */
     public String script() {
         StringBuilder script = new StringBuilder();
         line(script, FUNCTION + "() {");
@@ -64,9 +64,9 @@
     }
 
     private void appendWords(StringBuilder script) {
-        List<String> first = new ArrayList<>();
+        List<String> topLevelWords = new ArrayList<>();
         for (CommandGroupMetadata group : program.getCommandGroups()) {
-            first.add(group.getName());
+            topLevelWords.add(group.getName());
             for (CommandMetadata command : group.getCommands()) {
                 appendCase(
                         script,
@@ -78,11 +78,11 @@
             appendCase(script, "\"" + group.getName() + "\"", names);
         }
         for (CommandMetadata command : program.getDefaultGroupCommands()) {
-            first.add(command.getName());
+            topLevelWords.add(command.getName());
             String name = "\"" + command.getName() + "\"";
             appendCase(script, name + " | " + name + "\\ *", flags(command));
         }
-        appendCase(script, "\"\"", first);
+        appendCase(script, "\"\"", topLevelWords);
     }
 
     private static List<String> flags(CommandMetadata command) {
--- a/operator/src/main/java/org/damaskmoor/operator/internal/output/ResponsePrinter.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/output/ResponsePrinter.java
@@ -17,7 +17,7 @@
 import org.damaskmoor.schema.operator.NodeStatus;
 
 /**
- * Prints answers as text for people or as the JSON form of the schema's messages. Confined to one
+ * Prints responses as human-readable text or as JSON of the schema's messages. Confined to one
  * thread.
  */
 public final class ResponsePrinter {
@@ -29,7 +29,7 @@
         this.json = json;
     }
 
-    /** An accepted change. */
+    /** Prints an accepted change. */
     public void printChange(String done, ApplyServiceResponse response) {
         if (json) {
             printJson(response);
@@ -39,21 +39,21 @@
         stream.println(
                 done + " " + newest.getService().getName() + " version " + response.getVersion());
         if (newest.getVersion() != response.getVersion()) {
-            stream.println("since then changed: " + change(newest));
+            stream.println("since then changed: " + describeChange(newest));
         }
     }
 
-    /** One service. */
+    /** Prints one service. */
     public void printService(VersionedConfiguration service) {
         if (json) {
             printJson(service);
         } else {
-            stream.println(change(service));
+            stream.println(describeChange(service));
             printJson(service.getService());
         }
     }
 
-    /** All services. */
+    /** Prints all services. */
     public void printServices(ListServicesResponse services) {
         if (json) {
             printJson(services);
@@ -71,7 +71,7 @@
         stream.print(table);
     }
 
-    /** All nodes. */
+    /** Prints the status of all nodes. */
     public void printStatus(GetStatusResponse status) {
         if (json) {
             printJson(status);
@@ -95,7 +95,7 @@
         stream.println("behind: " + (behind.isEmpty() ? "none" : String.join(", ", behind)));
     }
 
-    /** A node that is drained. */
+    /** Prints that a node is being drained. */
     public void printDrain(String node, DrainNodeResponse response) {
         if (json) {
             printJson(response);
@@ -104,7 +104,7 @@
         }
     }
 
-    /** Where a request would go. */
+    /** Prints how a request would be routed. */
     public void printExplanation(ExplainResponse explained) {
         if (json) {
             printJson(explained);
@@ -153,7 +153,7 @@
         return table;
     }
 
-    private static String change(VersionedConfiguration service) {
+    private static String describeChange(VersionedConfiguration service) {
         return "version "
                 + service.getVersion()
                 + " by "
--- a/operator/src/test/java/org/damaskmoor/operator/FakeNode.java
+++ b/operator/src/test/java/org/damaskmoor/operator/FakeNode.java
@@ -40,7 +40,7 @@
 import org.damaskmoor.schema.mesh.MeshFrame;
 import org.damaskmoor.schema.mesh.UpstreamState;
 
-/** A node's operator port over a fake table and without other nodes. */
+/** A node's operator server with an in-memory service table and no other nodes. */
 final class FakeNode implements AutoCloseable {
     static final long CHANGED_AT_EPOCH_MILLISECONDS = 1_700_000_000_000L;
     private static final RegionName REGION = new RegionName("mittelland");
@@ -56,7 +56,12 @@
         MemberDirectory members = new MemberDirectory();
         ConfigurationManager configuration =
                 new ConfigurationManager(
-                        control, members, new NoMesh(), table, version -> {}, matcher -> {});
+                        control,
+                        members,
+                        new DiscardingMeshTransport(),
+                        table,
+                        version -> {},
+                        matcher -> {});
         membership =
                 new MembershipProtocol(
                         record("besuch-1"),
@@ -91,7 +96,10 @@
         return address;
     }
 
-    /** Hears a member that holds no configuration yet: the first message only introduces it. */
+    /**
+     * Receives gossip of a new node without any configuration, twice: the first message only adds
+     * the node.
+     */
     void addMemberWithoutConfiguration(String node) {
         GossipMessage message =
                 GossipMessage.newBuilder()
@@ -149,8 +157,8 @@
                                 rule, rule.allows(request.caller()), List.of(weight), false)));
     }
 
-    /** There are no other nodes to send to. */
-    private static final class NoMesh implements MeshTransport {
+    /** Discards frames, because there are no other nodes. */
+    private static final class DiscardingMeshTransport implements MeshTransport {
         @Override
         public void send(MeshPeer peer, MeshFrame frame) {}
 
--- a/operator/src/test/java/org/damaskmoor/operator/FakeServiceTable.java
+++ b/operator/src/test/java/org/damaskmoor/operator/FakeServiceTable.java
@@ -10,7 +10,7 @@
 import org.damaskmoor.core.id.ServiceName;
 import org.damaskmoor.schema.configuration.VersionedConfiguration;
 
-/** A table in memory that can be down, or lose the answers of writes. */
+/** In-memory service table whose reads can fail and whose writes can lose their answers. */
 final class FakeServiceTable implements ServiceTable {
     private final Map<String, Row> rows = new TreeMap<>();
     boolean readsFail;
@@ -35,8 +35,8 @@
             ServiceName service,
             Optional<String> expectedTag,
             VersionedConfiguration configuration) {
-        Optional<String> standing = Optional.ofNullable(rows.get(service.value())).map(Row::tag);
-        boolean written = standing.equals(expectedTag);
+        Optional<String> currentTag = Optional.ofNullable(rows.get(service.value())).map(Row::tag);
+        boolean written = currentTag.equals(expectedTag);
         if (written) {
             String tag = "tag-" + configuration.getVersion();
             rows.put(service.value(), new Row(configuration, tag));
--- a/operator/src/test/java/org/damaskmoor/operator/OperatorCliTest.java
+++ b/operator/src/test/java/org/damaskmoor/operator/OperatorCliTest.java
@@ -20,7 +20,7 @@
 
     private final FakeNode node = new FakeNode();
     private final ByteArrayOutputStream output = new ByteArrayOutputStream();
-    private final ByteArrayOutputStream notes = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream errorOutput = new ByteArrayOutputStream();
 
     @AfterEach
     void closeNode() {
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void should_name_who_when_and_which_version_when_another_operator_came_first() {
+    void should_report_version_author_and_time_when_another_change_was_accepted_first() {
         // given
         run(BESUCH, "service", "apply", "--file", "-", "--changed-by", "anna");
 
@@ -37,13 +37,13 @@
 
         // then
         assertThat(code).isEqualTo(ExitCode.CONFLICT);
-        assertThat(notes.toString(StandardCharsets.UTF_8))
+        assertThat(errorOutput.toString(StandardCharsets.UTF_8))
                 .contains("version 1 is in force, changed by anna at 2023-11-14T22:13:20Z");
-        assertThat(notes.toString(StandardCharsets.UTF_8)).contains("--expected-version 1");
+        assertThat(errorOutput.toString(StandardCharsets.UTF_8)).contains("--expected-version 1");
     }
 
     @Test
-    void should_replace_the_version_in_force_when_none_is_named() {
+    void should_replace_the_version_in_force_when_no_expected_version_is_given() {
         // given
         run(BESUCH, "service", "apply", "--file", "-");
 
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void should_name_every_field_when_a_configuration_has_more_faults_than_8_kilobytes_hold() {
+    void should_list_every_fault_when_a_configuration_has_more_than_8_kilobytes_of_faults() {
         // given
         int rules = 200;
         StringBuilder service = new StringBuilder("{\"name\": \"be such\", \"rules\": [");
@@ -70,7 +70,7 @@
 
         // then
         assertThat(code).isEqualTo(ExitCode.INVALID_CONFIGURATION);
-        String text = notes.toString(StandardCharsets.UTF_8);
+        String text = errorOutput.toString(StandardCharsets.UTF_8);
         assertThat(text).contains("\n  name: must be");
         for (int i = 0; i < rules; i++) {
             assertThat(text).contains("\n  rules[" + i + "].importance: must be at most 3");
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void should_say_how_to_repeat_when_the_outcome_is_unknown() {
+    void should_print_how_to_repeat_the_change_when_the_outcome_is_unknown() {
         // given
         node.table.writesGetNoAnswer = true;
 
@@ -88,7 +88,7 @@
 
         // then
         assertThat(code).isEqualTo(ExitCode.OUTCOME_UNKNOWN);
-        assertThat(notes.toString(StandardCharsets.UTF_8))
+        assertThat(errorOutput.toString(StandardCharsets.UTF_8))
                 .contains("Repeat the same command with --operation-id change-7");
 
         // when
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void should_say_not_accepted_when_the_platform_is_down_or_no_node_listens() {
+    void should_report_not_accepted_when_the_platform_is_down_or_no_node_listens() {
         // given
         node.table.readsFail = true;
 
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void should_show_who_is_behind_when_a_node_was_heard_without_the_change() {
+    void should_show_a_node_as_behind_when_it_announced_an_older_configuration() {
         // given
         run(BESUCH, "service", "apply", "--file", "-");
         node.addMemberWithoutConfiguration("besuch-2");
@@ -141,13 +141,13 @@
     }
 
     @Test
-    void should_tell_the_rule_and_each_candidate_when_asked_to_explain() {
+    void should_print_the_rule_and_each_candidate_when_a_request_is_explained() {
         // when
         run("", "explain", "besuch", "--caller", "resident", "--path", "/routes");
 
         // then
         String text = output.toString(StandardCharsets.UTF_8);
-        assertThat(text).contains("the rule lets in register, not resident");
+        assertThat(text).contains("the rule allows register, not resident");
         assertThat(text).containsMatch("besuch-1 +local +2\\.50");
     }
 
@@ -166,14 +166,14 @@
                 "status --bogus 1|--bogus",
                 "restart|restart"
             })
-    void should_exit_with_2_and_name_flag_value_and_allowed_when_a_flag_is_bad(
+    void should_exit_with_2_and_name_flag_value_and_allowed_values_when_a_flag_is_invalid(
             String line, String message) {
         // when
         ExitCode code = run("", line.split(" "));
 
         // then
         assertThat(code.code()).isEqualTo(2);
-        assertThat(notes.toString(StandardCharsets.UTF_8)).contains(message);
+        assertThat(errorOutput.toString(StandardCharsets.UTF_8)).contains(message);
     }
 
     @ParameterizedTest
@@ -189,7 +189,7 @@
                 "completion",
                 "help"
             })
-    void should_show_examples_when_help_is_asked_for(String command) {
+    void should_show_examples_when_help_is_requested(String command) {
         // when
         ExitCode code =
                 run(
@@ -203,12 +203,12 @@
     }
 
     private ExitCode run(String input, String... arguments) {
-        CommandContext session =
+        CommandContext context =
                 new CommandContext(
                         Map.of("DAMASKMOOR_OPERATOR_NODE", node.address()),
                         new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
                         new PrintStream(output, true, StandardCharsets.UTF_8),
-                        new PrintStream(notes, true, StandardCharsets.UTF_8));
-        return new OperatorCli(session).run(arguments);
+                        new PrintStream(errorOutput, true, StandardCharsets.UTF_8));
+        return new OperatorCli(context).run(arguments);
     }
 }
