--- a/report/src/main/java/org/damaskmoor/report/AccountingReader.java
+++ b/report/src/main/java/org/damaskmoor/report/AccountingReader.java
@@ -20,32 +20,35 @@
 import org.damaskmoor.schema.accounting.RequestObject;
 
 /**
- * Reads what nodes flushed to the object store.
+ * Reads the accounting objects that nodes write to the object store.
  *
  * <pre>{@code
  * RefusalSummary refusals = new AccountingReader(store).refusals(fromMinute, toMinute);
- * refusals.total();                        // refusals accounted for
+ * refusals.total();                        // number of refusals
  * refusals.lines();                        // by service, caller and reason
  * }</pre>
  *
- * <p>Calls block until all objects were read and throw what the store failed with. At most {@link
- * #READS_AT_ONCE} reads are in flight. Immutable and thread-safe.
+ * <p>Calls block until all objects are read, and throw the failure of the store. At most {@link
+ * #MAXIMUM_CONCURRENT_READS} reads are in flight. Immutable and thread-safe.
  */
 public final class AccountingReader {
-    /** Most reads in flight. */
-    public static final int READS_AT_ONCE = 16;
+    /** Maximum number of reads in flight. */
+    public static final int MAXIMUM_CONCURRENT_READS = 16;
 
     private static final int PAGE_ENTRIES = 1_000;
     private static final long MINUTES_PER_HOUR = 60;
 
     private final ObjectStore store;
 
-    /** A reader of {@code store}. */
+    /** Creates a reader of {@code store}. */
     public AccountingReader(ObjectStore store) {
         this.store = Objects.requireNonNull(store, "store");
     }
 
-    /** Refusals of the minutes from {@code fromEpochMinute} on and before {@code toEpochMinute}. */
+    /**
+     * Returns the refusals from {@code fromEpochMinute}, inclusive, to {@code toEpochMinute},
+     * exclusive.
+     */
     public RefusalSummary refusals(long fromEpochMinute, long toEpochMinute) {
         RefusalReconciler reconciler = new RefusalReconciler(fromEpochMinute, toEpochMinute);
         for (long hour = hour(fromEpochMinute); hour <= hour(toEpochMinute - 1); hour++) {
@@ -56,7 +59,10 @@
         return reconciler.summarize();
     }
 
-    /** Request counts of the minutes from {@code fromEpochMinute} on and before the other. */
+    /**
+     * Returns the request counts from {@code fromEpochMinute}, inclusive, to {@code toEpochMinute},
+     * exclusive.
+     */
     public List<RequestCount> requests(long fromEpochMinute, long toEpochMinute) {
         List<RequestCount> counts = new ArrayList<>();
         for (long hour = hour(fromEpochMinute); hour <= hour(toEpochMinute - 1); hour++) {
@@ -71,7 +77,7 @@
         return counts;
     }
 
-    private void readAll(String prefix, Consumer<ByteString> reader) {
+    private void readAll(String prefix, Consumer<ByteString> consumer) {
         Set<String> seen = new HashSet<>();
         String after = "";
         List<ObjectStore.Entry> page;
@@ -79,17 +85,19 @@
             page = store.list(prefix, after, PAGE_ENTRIES).join();
             List<String> names =
                     page.stream().map(ObjectStore.Entry::name).filter(seen::add).toList();
-            for (int i = 0; i < names.size(); i += READS_AT_ONCE) {
-                readSome(names.subList(i, Math.min(names.size(), i + READS_AT_ONCE)), reader);
+            for (int i = 0; i < names.size(); i += MAXIMUM_CONCURRENT_READS) {
+                readConcurrently(
+                        names.subList(i, Math.min(names.size(), i + MAXIMUM_CONCURRENT_READS)),
+                        consumer);
             }
             after = page.isEmpty() ? after : page.get(page.size() - 1).name();
         } while (!page.isEmpty());
     }
 
-    private void readSome(List<String> names, Consumer<ByteString> reader) {
+    private void readConcurrently(List<String> names, Consumer<ByteString> consumer) {
         List<CompletableFuture<Optional<ByteString>>> reads =
                 names.stream().map(store::get).toList();
-        reads.forEach(read -> read.join().ifPresent(reader));
+        reads.forEach(read -> read.join().ifPresent(consumer));
     }
 
     private static long hour(long epochMinute) {
@@ -118,7 +126,7 @@
                         + RefusalObjects.PREFIX
                         + " or "
                         + RequestFlusher.PREFIX
-                        + " is not what nodes write; look for another writer of these names.",
+                        + " is malformed; check whether another process writes these names.",
                 malformed);
     }
 }
--- a/report/src/main/java/org/damaskmoor/report/BurnRateCalculator.java
+++ b/report/src/main/java/org/damaskmoor/report/BurnRateCalculator.java
@@ -8,21 +8,21 @@
 import org.damaskmoor.schema.configuration.ServiceLevelObjective;
 
 /**
- * Works out how fast services use up their error budgets, over several windows (Site Reliability
+ * Calculates the burn rates of services' error budgets over several windows (Site Reliability
  * Workbook, "Alerting on SLOs").
  *
- * <p>A request is good when it was answered in time; all else (late, refused, unknown, failed) is
- * bad, by weight. A burn rate of 1 uses the budget up in exactly the objective's period. Stateless
- * and thread-safe.
+ * <p>A request is good when it was answered in time; any other outcome (late, refused, unknown,
+ * failed) is bad. Requests count by weight. A burn rate of 1 uses the budget up in exactly the
+ * objective's period. Stateless and thread-safe.
  */
 public final class BurnRateCalculator {
     private static final double PARTS_PER_MILLION = 1_000_000;
-    private static final double PAGE_FAST_RATE = 14.4;
-    private static final double PAGE_SLOW_RATE = 6;
-    private static final double TICKET_RATE = 1;
+    private static final double FAST_PAGE_BURN_RATE = 14.4;
+    private static final double SLOW_PAGE_BURN_RATE = 6;
+    private static final double TICKET_BURN_RATE = 1;
     private static final double QUANTILE = 0.99;
 
-    /** The windows of a report, in minutes. */
+    /** The windows of a report. */
     public enum Window {
         FIVE_MINUTES("5m", 5),
         ONE_HOUR("1h", 60),
@@ -37,36 +37,37 @@
             this.minutes = minutes;
         }
 
-        /** Short name. */
+        /** Returns the short name. */
         public String label() {
             return label;
         }
 
-        /** Length in minutes. */
+        /** Returns the length in minutes. */
         public int minutes() {
             return minutes;
         }
     }
 
     /**
-     * One window's sums.
+     * Sums over one window.
      *
      * @param window the window
      * @param weight weight of all requests
-     * @param badWeight weight of those not answered in time
+     * @param badWeight weight of the requests that were not answered in time
      * @param burnRate share of bad weight divided by the share that the objective allows
      */
     public record Rate(Window window, long weight, long badWeight, double burnRate) {}
 
     /**
-     * One objective's state.
+     * State of one objective.
      *
      * @param service the service
-     * @param kind the kind; empty: all
-     * @param objective what was promised
+     * @param kind the kind of requests; empty for all
+     * @param objective the objective
      * @param rates one per window, shortest first
-     * @param budgetLeft share of the budget left over the longest window; negative when overspent
-     * @param p99Milliseconds upper bound of the latency of 99 in 100 over the longest window
+     * @param budgetLeft remaining share of the error budget over the longest window; negative if
+     *     overspent
+     * @param p99Milliseconds upper bound of the 99th percentile of latency over the longest window
      * @param alert {@code page}, {@code ticket} or {@code none}
      */
     public record Burn(
@@ -80,7 +81,9 @@
 
     private BurnRateCalculator() {}
 
-    /** The state of every objective of the services at the end of {@code nowEpochMinute}. */
+    /**
+     * Returns the state of every objective of the services at the end of {@code nowEpochMinute}.
+     */
     public static List<Burn> calculate(
             List<ServiceConfiguration> services, List<RequestCount> counts, long nowEpochMinute) {
         List<Burn> burns = new ArrayList<>();
@@ -134,10 +137,11 @@
             }
         }
         double badShare = weight == 0 ? 0 : (double) bad / weight;
-        return new Rate(window, weight, bad, allowed > 0 ? badShare / allowed : infinite(bad));
+        return new Rate(
+                window, weight, bad, allowed > 0 ? badShare / allowed : rateWithoutBudget(bad));
     }
 
-    private static double infinite(long bad) {
+    private static double rateWithoutBudget(long bad) {
         return bad == 0 ? 0 : Double.POSITIVE_INFINITY;
     }
 
@@ -146,12 +150,12 @@
         double oneHour = rates.get(1).burnRate();
         double sixHours = rates.get(2).burnRate();
         double threeDays = rates.get(3).burnRate();
-        boolean fast = oneHour >= PAGE_FAST_RATE && fiveMinutes >= PAGE_FAST_RATE;
-        boolean slow = sixHours >= PAGE_SLOW_RATE && fiveMinutes >= PAGE_SLOW_RATE;
+        boolean fast = oneHour >= FAST_PAGE_BURN_RATE && fiveMinutes >= FAST_PAGE_BURN_RATE;
+        boolean slow = sixHours >= SLOW_PAGE_BURN_RATE && fiveMinutes >= SLOW_PAGE_BURN_RATE;
         if (fast || slow) {
             return "page";
         }
-        return threeDays >= TICKET_RATE && sixHours >= TICKET_RATE ? "ticket" : "none";
+        return threeDays >= TICKET_BURN_RATE && sixHours >= TICKET_BURN_RATE ? "ticket" : "none";
     }
 
     private static long p99(List<RequestCount> counts) {
--- a/report/src/main/java/org/damaskmoor/report/ReportMain.java
+++ b/report/src/main/java/org/damaskmoor/report/ReportMain.java
@@ -16,16 +16,16 @@
 import org.damaskmoor.report.internal.ReportCommand;
 
 /**
- * Entry point of the binary damaskmoor-report: refusals by caller and reason, and service-level
- * burn.
+ * Entry point of the binary damaskmoor-report, which reports refusals by caller and reason, and
+ * error budget burn rates.
  *
- * <p>Exit codes: 0 written, 1 unexpected, 2 wrong option, 3 platform did not answer. Stateless and
- * thread-safe.
+ * <p>Exit codes: 0 report written, 1 unexpected failure, 2 invalid option, 3 platform did not
+ * answer. Stateless and thread-safe.
  */
 public final class ReportMain {
-    private static final int UNEXPECTED = 1;
-    private static final int WRONG_OPTION = 2;
-    private static final int NO_PLATFORM = 3;
+    private static final int UNEXPECTED_FAILURE = 1;
+    private static final int INVALID_OPTION = 2;
+    private static final int PLATFORM_UNAVAILABLE = 3;
 
     private ReportMain() {}
 
@@ -48,14 +48,15 @@
             }
             cli.parse(arguments).run(out, now);
             return 0;
-        } catch (ParseException | InvalidOptionException wrong) {
-            err.println("damaskmoor-report: " + wrong.getMessage() + " See --help.");
-            return WRONG_OPTION;
+        } catch (ParseException | InvalidOptionException invalid) {
+            err.println("damaskmoor-report: " + invalid.getMessage() + " See --help.");
+            return INVALID_OPTION;
         } catch (IOException failure) {
-            err.println("damaskmoor-report: the file was not written: " + failure.getMessage());
-            return UNEXPECTED;
+            err.println(
+                    "damaskmoor-report: the report could not be written: " + failure.getMessage());
+            return UNEXPECTED_FAILURE;
         } catch (RuntimeException failure) {
-            return report(failure, err);
+            return reportFailure(failure, err);
         }
     }
 
@@ -67,14 +68,16 @@
             throws IOException {
         Help.help(metadata, List.of(), out);
         out.println("Each command explains its options, exit codes and an example with --help.");
-        out.println("Exit codes: 0 written, 1 unexpected, 2 wrong option, 3 no platform.");
+        out.println(
+                "Exit codes: 0 report written, 1 unexpected failure, 2 invalid option, 3 platform"
+                        + " did not answer.");
     }
 
-    private static int report(RuntimeException failure, PrintStream err) {
+    private static int reportFailure(RuntimeException failure, PrintStream err) {
         Optional<PlatformException> platform = PlatformException.findIn(failure);
         err.println(
                 "damaskmoor-report: "
                         + platform.map(Throwable::getMessage).orElse(String.valueOf(failure)));
-        return platform.isPresent() ? NO_PLATFORM : UNEXPECTED;
+        return platform.isPresent() ? PLATFORM_UNAVAILABLE : UNEXPECTED_FAILURE;
     }
 }
--- a/report/src/main/java/org/damaskmoor/report/internal/BurnCommand.java
+++ b/report/src/main/java/org/damaskmoor/report/internal/BurnCommand.java
@@ -22,14 +22,14 @@
 import org.damaskmoor.schema.configuration.ServiceConfiguration;
 import org.damaskmoor.schema.configuration.VersionedConfiguration;
 
-/** {@code damaskmoor-report burn}. Not thread-safe. */
+/** Command {@code damaskmoor-report burn}. Not thread-safe. */
 @Command(name = "burn", description = "How fast services use up their error budgets.")
 @ExitCodes(
         codes = {0, 1, 2, 3},
         descriptions = {
             "The report was written.",
-            "Something unexpected happened.",
-            "An option is wrong.",
+            "An unexpected failure occurred.",
+            "An option is invalid.",
             "The platform did not answer."
         })
 @Examples(
@@ -44,7 +44,10 @@
     @Option(
             name = "--table-service-url",
             title = "url",
-            description = "Where the objectives stand. Also: " + URL_VARIABLE + ".")
+            description =
+                    "The platform's table service, which holds the objectives. Also: "
+                            + URL_VARIABLE
+                            + ".")
     String tableServiceUrl = System.getenv(URL_VARIABLE);
 
     @Option(name = "--service", title = "name", description = "Only this service.")
@@ -99,7 +102,9 @@
             return VersionedConfiguration.parseFrom(row.value());
         } catch (InvalidProtocolBufferException malformed) {
             throw new IllegalStateException(
-                    "Row " + row.key() + " of the table services holds no configuration.",
+                    "Row "
+                            + row.key()
+                            + " of the table services is not a valid VersionedConfiguration.",
                     malformed);
         }
     }
@@ -161,12 +166,12 @@
                                                 .map(rate -> rate.window().label())
                                                 .toList(),
                                         burn.rates().stream()
-                                                .map(rate -> finite(rate.burnRate()))
+                                                .map(rate -> finiteOrZero(rate.burnRate()))
                                                 .toList()))
                 .toList();
     }
 
-    private static double finite(double rate) {
+    private static double finiteOrZero(double rate) {
         return Double.isFinite(rate) ? rate : 0;
     }
 }
--- a/report/src/main/java/org/damaskmoor/report/internal/InvalidOptionException.java
+++ b/report/src/main/java/org/damaskmoor/report/internal/InvalidOptionException.java
@@ -1,6 +1,6 @@
 package org.damaskmoor.report.internal;
 
-/** A flag has a value that is not allowed. Immutable and thread-safe. */
+/** An option has a value that is not allowed. Immutable and thread-safe. */
 public final class InvalidOptionException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/report/src/main/java/org/damaskmoor/report/internal/OptionValidator.java
+++ b/report/src/main/java/org/damaskmoor/report/internal/OptionValidator.java
@@ -6,7 +6,7 @@
 import java.time.format.DateTimeParseException;
 import java.util.List;
 
-/** Checks values of flags. Stateless and thread-safe. */
+/** Validates option values. Stateless and thread-safe. */
 final class OptionValidator {
     private static final long MILLISECONDS_PER_MINUTE = 60_000;
     private static final int NAME_CHARACTERS = 128;
@@ -30,9 +30,9 @@
         throw new InvalidOptionException(flag, value, allowed);
     }
 
-    static long parseEpochMinute(String flag, String value, long otherwise) {
+    static long parseEpochMinute(String flag, String value, long defaultValue) {
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
         try {
             return Math.floorDiv(Instant.parse(value).toEpochMilli(), MILLISECONDS_PER_MINUTE);
--- a/report/src/main/java/org/damaskmoor/report/internal/RefusalsCommand.java
+++ b/report/src/main/java/org/damaskmoor/report/internal/RefusalsCommand.java
@@ -19,14 +19,14 @@
 import org.damaskmoor.report.internal.Report.Plot;
 import org.damaskmoor.report.internal.Report.Table;
 
-/** {@code damaskmoor-report refusals}. Not thread-safe. */
+/** Command {@code damaskmoor-report refusals}. Not thread-safe. */
 @Command(name = "refusals", description = "Refusals of a time span by caller and reason.")
 @ExitCodes(
         codes = {0, 1, 2, 3},
         descriptions = {
             "The report was written.",
-            "Something unexpected happened.",
-            "An option is wrong.",
+            "An unexpected failure occurred.",
+            "An option is invalid.",
             "The platform did not answer."
         })
 @Examples(
@@ -101,7 +101,9 @@
     }
 
     private static long missingBatches(RefusalSummary summary) {
-        return summary.missing().stream().mapToLong(lost -> lost.last() - lost.first() + 1).sum();
+        return summary.missing().stream()
+                .mapToLong(batches -> batches.last() - batches.first() + 1)
+                .sum();
     }
 
     private static Table refusals(List<Line> lines) {
@@ -141,12 +143,12 @@
                 List.of("node", "incarnation", "first", "last"),
                 summary.missing().stream()
                         .map(
-                                lost ->
+                                batches ->
                                         List.<Object>of(
-                                                lost.node(),
-                                                lost.incarnation(),
-                                                lost.first(),
-                                                lost.last()))
+                                                batches.node(),
+                                                batches.incarnation(),
+                                                batches.first(),
+                                                batches.last()))
                         .toList());
     }
 
--- a/report/src/main/java/org/damaskmoor/report/internal/Report.java
+++ b/report/src/main/java/org/damaskmoor/report/internal/Report.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * A report before it is written as text, JSON or HTML. Immutable and thread-safe.
+ * A report, independent of its output format. Immutable and thread-safe.
  *
- * @param title what the report shows
- * @param tables its tables, in order
- * @param plots its plots, in order; only the HTML page shows them
+ * @param title title of the report
+ * @param tables the tables, in order
+ * @param plots the plots, in order; only the HTML format shows them
  */
 record Report(String title, List<Table> tables, List<Plot> plots) {
     /**
@@ -23,7 +23,7 @@
      * A bar chart.
      *
      * @param title heading
-     * @param axis what the values are
+     * @param axis label of the value axis
      * @param labels one per bar
      * @param values one per bar
      */
--- a/report/src/main/java/org/damaskmoor/report/internal/ReportCommand.java
+++ b/report/src/main/java/org/damaskmoor/report/internal/ReportCommand.java
@@ -17,9 +17,9 @@
 import org.damaskmoor.platform.PlatformClientLimits;
 
 /**
- * What the commands have in common: where to read, how to write.
+ * Base class of the report commands, with the options for the object store and the output.
  *
- * <p>Invariant: every option is checked before anything is read. Not thread-safe.
+ * <p>Invariant: every option is validated before data is read. Not thread-safe.
  */
 public abstract class ReportCommand {
     private static final String URL_VARIABLE = "DAMASKMOOR_OBJECT_STORE_URL";
@@ -38,10 +38,13 @@
             description = "text, json or html; html needs --file. Default: text.")
     String output = "text";
 
-    @Option(name = "--file", title = "path", description = "File to write instead of the output.")
+    @Option(
+            name = "--file",
+            title = "path",
+            description = "File to write instead of standard output.")
     String file;
 
-    /** Shows the help if it was asked for, else writes the report. */
+    /** Shows the help if it was requested, otherwise writes the report. */
     public final void run(PrintStream out, Instant now) throws IOException {
         if (help != null && help.showHelpIfRequested()) {
             return;
@@ -50,12 +53,12 @@
         OptionValidator.requireOneOf("--output", output, List.of("text", "json", "html"));
         Path target = file();
         validateOptions(now);
-        Report page;
+        Report report;
         try (PlatformClient client =
                 new PlatformClient(PlatformClientLimits.defaults(), new SplittableRandom())) {
-            page = buildReport(client, url, now);
+            report = buildReport(client, url, now);
         }
-        write(render(page), target, out);
+        write(render(report), target, out);
     }
 
     private Path file() {
@@ -76,11 +79,11 @@
         throw new InvalidOptionException("--file", file, "a file in a directory that exists");
     }
 
-    private String render(Report page) {
+    private String render(Report report) {
         return switch (output) {
-            case "json" -> ReportRenderer.json(page);
-            case "html" -> ReportRenderer.html(page);
-            default -> ReportRenderer.text(page);
+            case "json" -> ReportRenderer.json(report);
+            case "html" -> ReportRenderer.html(report);
+            default -> ReportRenderer.text(report);
         };
     }
 
--- a/report/src/main/java/org/damaskmoor/report/internal/ReportRenderer.java
+++ b/report/src/main/java/org/damaskmoor/report/internal/ReportRenderer.java
@@ -17,16 +17,16 @@
 import org.knowm.xchart.CategoryChart;
 import org.knowm.xchart.CategoryChartBuilder;
 
-/** Writes a report as text, JSON or HTML. Stateless and thread-safe. */
+/** Renders a report as text, JSON or HTML. Stateless and thread-safe. */
 final class ReportRenderer {
     private static final int PLOT_WIDTH = 900;
     private static final int PLOT_HEIGHT = 420;
 
     private ReportRenderer() {}
 
-    static String text(Report page) {
-        StringBuilder text = new StringBuilder(page.title()).append('\n');
-        for (Table table : page.tables()) {
+    static String text(Report report) {
+        StringBuilder text = new StringBuilder(report.title()).append('\n');
+        for (Table table : report.tables()) {
             text.append('\n').append(table.name()).append('\n');
             appendRow(text, table, table.columns());
             table.rows().forEach(row -> appendRow(text, table, row));
@@ -63,9 +63,9 @@
                 : String.valueOf(value);
     }
 
-    static String json(Report page) {
+    static String json(Report report) {
         Struct.Builder root = Struct.newBuilder();
-        for (Table table : page.tables()) {
+        for (Table table : report.tables()) {
             ListValue.Builder rows = ListValue.newBuilder();
             table.rows().forEach(row -> rows.addValues(jsonRow(table, row)));
             root.putFields(table.name(), Value.newBuilder().setListValue(rows).build());
@@ -73,7 +73,8 @@
         try {
             return JsonFormat.printer().print(root) + "\n";
         } catch (InvalidProtocolBufferException impossible) {
-            throw new IllegalStateException("A structure of finite values must print.", impossible);
+            throw new IllegalStateException(
+                    "A structure of finite values must be printable as JSON.", impossible);
         }
     }
 
@@ -92,19 +93,19 @@
                 : Value.newBuilder().setStringValue(String.valueOf(value)).build();
     }
 
-    static String html(Report page) {
+    static String html(Report report) {
         StringBuilder html = new StringBuilder();
         html.append("<!DOCTYPE html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>")
-                .append(escape(page.title()))
+                .append(escape(report.title()))
                 .append("</title><style>body{font-family:sans-serif;margin:2em}")
                 .append("td,th{padding:.2em .8em;text-align:left;border-bottom:1px solid #ccc}")
                 .append("</style></head><body><h1>")
-                .append(escape(page.title()))
+                .append(escape(report.title()))
                 .append("</h1>\n");
-        page.plots().stream()
+        report.plots().stream()
                 .filter(plot -> !plot.labels().isEmpty())
                 .forEach(plot -> html.append(image(plot)));
-        page.tables().forEach(table -> html.append(htmlTable(table)));
+        report.tables().forEach(table -> html.append(htmlTable(table)));
         return html.append("</body></html>\n").toString();
     }
 
@@ -153,7 +154,8 @@
                     + Base64.getEncoder().encodeToString(bytes)
                     + "\"></p>\n";
         } catch (IOException failure) {
-            throw new UncheckedIOException("The plot " + plot.title() + " was not drawn.", failure);
+            throw new UncheckedIOException(
+                    "The plot " + plot.title() + " could not be encoded as PNG.", failure);
         }
     }
 
--- a/report/src/test/java/org/damaskmoor/report/AccountingReaderTest.java
+++ b/report/src/test/java/org/damaskmoor/report/AccountingReaderTest.java
@@ -30,8 +30,8 @@
     private final AccountingReader reader = new AccountingReader(store);
 
     @Test
-    void should_count_once_when_owner_and_buddy_flushed_the_same_batches() {
-        // given: the buddy flushed a part of what the owner flushed whole
+    void should_count_once_when_owner_and_peer_flushed_the_same_batches() {
+        // given: the peer flushed a part of the batches that the owner flushed as one group
         put(group(1, 3, 70, 30));
         put(group(1, 5, 70, 50));
         put(group(6, 6, 71, 7));
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void should_tell_which_batches_are_missing() {
+    void should_report_missing_batches() {
         // given
         put(group(1, 3, 70, 30));
         put(group(6, 6, 71, 7));
--- a/report/src/test/java/org/damaskmoor/report/ReportMainTest.java
+++ b/report/src/test/java/org/damaskmoor/report/ReportMainTest.java
@@ -19,15 +19,15 @@
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
     @Test
-    void should_name_flag_value_and_what_is_allowed_when_an_option_is_wrong() {
-        assertRefused("--output", "xml", "refusals", STORE, "--output", "xml");
-        assertRefused("--from", "yesterday", "refusals", STORE, "--from", "yesterday");
-        assertRefused("--object-store-url", "here", "refusals", "--object-store-url", "here");
-        assertRefused("--table-service-url", "here", "burn", STORE, "--table-service-url", "here");
-        assertRefused("--file", "/no/such/place", "refusals", STORE, "--file", "/no/such/place");
-        assertRefused("--output", "html", "refusals", STORE, "--output", "html");
-        assertRefused("--service", "", "refusals", STORE, "--service", " ");
-        assertRefused(
+    void should_name_option_value_and_allowed_values_when_an_option_is_invalid() {
+        assertRejected("--output", "xml", "refusals", STORE, "--output", "xml");
+        assertRejected("--from", "yesterday", "refusals", STORE, "--from", "yesterday");
+        assertRejected("--object-store-url", "here", "refusals", "--object-store-url", "here");
+        assertRejected("--table-service-url", "here", "burn", STORE, "--table-service-url", "here");
+        assertRejected("--file", "/no/such/place", "refusals", STORE, "--file", "/no/such/place");
+        assertRejected("--output", "html", "refusals", STORE, "--output", "html");
+        assertRejected("--service", "", "refusals", STORE, "--service", " ");
+        assertRejected(
                 "--from",
                 "2026-12-04T05:00:00Z",
                 "refusals",
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void should_refuse_flags_and_commands_that_do_not_exist() {
+    void should_reject_unknown_options_and_commands() {
         assertThat(run("refusals", STORE, "--colour", "red")).isEqualTo(2);
         assertThat(run("refunds", STORE)).isEqualTo(2);
     }
@@ -60,14 +60,14 @@
     }
 
     @Test
-    void should_explain_itself_when_asked_for_help() {
+    void should_print_commands_and_exit_codes_when_help_is_requested() {
         assertThat(run("--help")).isEqualTo(0);
         assertThat(text(out)).contains("refusals");
         assertThat(text(out)).contains("burn");
         assertThat(text(out)).contains("Exit codes");
     }
 
-    private void assertRefused(String flag, String value, String... arguments) {
+    private void assertRejected(String flag, String value, String... arguments) {
         err.reset();
         assertThat(run(arguments)).isEqualTo(2);
         assertThat(text(err)).contains(flag + " has the value <" + value.strip());
--- a/report/src/test/java/org/damaskmoor/report/internal/ReportRendererTest.java
+++ b/report/src/test/java/org/damaskmoor/report/internal/ReportRendererTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 class ReportRendererTest {
-    private static final Report PAGE =
+    private static final Report REPORT =
             new Report(
                     "Refusals <now>",
                     List.of(
@@ -23,7 +23,7 @@
 
     @Test
     void should_align_columns_as_text() {
-        assertThat(ReportRenderer.text(PAGE))
+        assertThat(ReportRenderer.text(REPORT))
                 .isEqualTo("Refusals <now>\n\nrefusals\ncaller  refusals\na&b     3\n");
     }
 
@@ -31,7 +31,7 @@
     void should_write_one_object_per_row_in_json() throws InvalidProtocolBufferException {
         // when
         Struct.Builder parsed = Struct.newBuilder();
-        JsonFormat.parser().merge(ReportRenderer.json(PAGE), parsed);
+        JsonFormat.parser().merge(ReportRenderer.json(REPORT), parsed);
 
         // then
         Struct row =
@@ -43,8 +43,8 @@
 
     @Test
     void should_escape_names_and_embed_plots_in_html() {
-        assertThat(ReportRenderer.html(PAGE)).contains("<td>a&amp;b</td>");
-        assertThat(ReportRenderer.html(PAGE)).contains("Refusals &lt;now&gt;");
-        assertThat(ReportRenderer.html(PAGE)).contains("data:image/png;base64,");
+        assertThat(ReportRenderer.html(REPORT)).contains("<td>a&amp;b</td>");
+        assertThat(ReportRenderer.html(REPORT)).contains("Refusals &lt;now&gt;");
+        assertThat(ReportRenderer.html(REPORT)).contains("data:image/png;base64,");
     }
 }
