--- a/mesh/src/main/java/org/damaskmoor/mesh/MeshSettings.java
+++ b/mesh/src/main/java/org/damaskmoor/mesh/MeshSettings.java
@@ -13,18 +13,18 @@
  * @param incarnation this node's incarnation
  * @param listenAddress address on which this node accepts connections
  * @param maximumFrameBytes maximum frame size; a larger frame closes the connection
- * @param ringMessages maximum number of frames that wait to be sent
+ * @param maximumQueuedFrames maximum number of frames that wait to be sent
  * @param connectTimeout timeout for opening a connection
- * @param silenceTimeout time without received frames after which a connection that is in use is
- *     closed
- * @param security TLS for both directions, or empty for plain TCP
+ * @param silenceTimeout time without received frames after which a connection opened by this node
+ *     is closed
+ * @param tls TLS for both directions, or empty for plain TCP
  */
 public record MeshSettings(
         NodeId nodeId,
         Incarnation incarnation,
         InetSocketAddress listenAddress,
         int maximumFrameBytes,
-        int ringMessages,
+        int maximumQueuedFrames,
         Duration connectTimeout,
         Duration silenceTimeout,
-        Optional<MeshTls> security) {}
+        Optional<MeshTls> tls) {}
--- a/mesh/src/main/java/org/damaskmoor/mesh/NettyMeshTransport.java
+++ b/mesh/src/main/java/org/damaskmoor/mesh/NettyMeshTransport.java
@@ -55,7 +55,8 @@
         this.loop = group.next();
         this.initializer = new LinkInitializer(settings, listener, customizer);
         this.outgoingFrames =
-                new BoundedMailbox<>(settings.ringMessages(), loop, this::dispatch, this::flushAll);
+                new BoundedMailbox<>(
+                        settings.maximumQueuedFrames(), loop, this::dispatch, this::flushAll);
     }
 
     /** Returns the event loop, for components that share the mesh's thread. */
--- a/mesh/src/main/java/org/damaskmoor/mesh/internal/LinkInitializer.java
+++ b/mesh/src/main/java/org/damaskmoor/mesh/internal/LinkInitializer.java
@@ -51,7 +51,7 @@
                 channel -> {
                     InetSocketAddress remote = (InetSocketAddress) channel.remoteAddress();
                     customizer.customize(channel, remote);
-                    settings.security().ifPresent(security -> addTls(channel, security.server()));
+                    settings.tls().ifPresent(tls -> addTls(channel, tls.server()));
                     addCodec(channel, LinkHandler.inbound(hello(), listener));
                 });
     }
@@ -65,7 +65,7 @@
         return initializer(
                 channel -> {
                     customizer.customize(channel, remote);
-                    settings.security().ifPresent(security -> addTls(channel, security.client()));
+                    settings.tls().ifPresent(tls -> addTls(channel, tls.client()));
                     long silenceMilliseconds = settings.silenceTimeout().toMillis();
                     addCodec(
                             channel,
--- a/mesh/src/main/java/org/damaskmoor/mesh/internal/PeerLinks.java
+++ b/mesh/src/main/java/org/damaskmoor/mesh/internal/PeerLinks.java
@@ -59,7 +59,7 @@
             writeToCurrent(frame);
             return;
         }
-        if (waiting.size() >= settings.ringMessages()) {
+        if (waiting.size() >= settings.maximumQueuedFrames()) {
             unsent(frame, Step.ENQUEUE, "too many frames wait for the connection", null);
             return;
         }
