--- a/node/src/test/java/org/damaskmoor/node/internal/accounting/InMemoryObjectStore.java
+++ b/node/src/test/java/org/damaskmoor/node/internal/accounting/InMemoryObjectStore.java
@@ -57,7 +57,7 @@
     public CompletableFuture<PutResult> putIfAbsent(String name, ByteString content) {
         boolean existed = objects.putIfAbsent(name, content) != null;
         return CompletableFuture.completedFuture(
-                existed ? PutResult.STANDS_ALREADY : PutResult.CREATED);
+                existed ? PutResult.ALREADY_EXISTS : PutResult.CREATED);
     }
 
     @Override
