--- a/core/src/main/java/org/damaskmoor/core/atmostonce/Acceptance.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/Acceptance.java
@@ -6,18 +6,18 @@
 import org.damaskmoor.core.id.RequestId;
 
 /**
- * Answer of the ledger to a call that arrived.
+ * Result of offering an incoming call to the ledger.
  *
- * <p>For {@link AcceptanceResult#DUPLICATE} and {@link AcceptanceResult#JOINED} the state tells
- * what to reply now: wait while it is queued or handed over, send {@code answer} when it is
- * answered (a failure when the answer is no longer kept), a failure when it failed, a refusal when
- * it was refused. Results that prove nothing carry the state {@code FAILED}. Immutable and
- * thread-safe.
+ * <p>For {@link AcceptanceResult#DUPLICATE} and {@link AcceptanceResult#JOINED}, {@code state}
+ * determines the reply: none yet while the request is queued or handed over; {@code answer} if it
+ * was answered, or a failure if the answer was evicted; a failure if it failed; a refusal if it was
+ * refused. Results that leave open whether the request ran carry the state {@code FAILED}.
+ * Immutable and thread-safe.
  *
- * @param result what became of the call
- * @param run the request whose outcome this call gets; its own id unless it joined another
- * @param state the state of that request as it concerns this call
- * @param answer the serialised answer, when there is one and it is still kept
+ * @param result what the ledger did with the call
+ * @param run the request whose outcome this call receives: its own id unless it joined another
+ * @param state the state of that request as seen by this call
+ * @param answer the serialised answer, if there is one and it is still cached
  */
 public record Acceptance(
         AcceptanceResult result, RequestId run, CallState state, Optional<ByteString> answer) {
--- a/core/src/main/java/org/damaskmoor/core/atmostonce/AttemptId.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/AttemptId.java
@@ -4,7 +4,7 @@
 import org.damaskmoor.core.id.RequestId;
 
 /**
- * Names one attempt at a request, as messages between nodes carry it.
+ * Identifies one attempt at a request in messages between nodes.
  *
  * <p>Immutable and thread-safe.
  *
--- a/core/src/main/java/org/damaskmoor/core/atmostonce/CallKey.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/CallKey.java
@@ -5,12 +5,12 @@
 import org.damaskmoor.core.id.RequestId;
 
 /**
- * What a target knows a call by: its request id and, when the caller gave one, its idempotency key.
+ * Identifies a call at its target: the request id and, if the caller sent one, the idempotency key.
  *
  * <p>Immutable and thread-safe.
  *
- * @param id the id of the request, the same through all attempts
- * @param idempotencyKey the caller's key, empty when it sent none
+ * @param id the id of the request, the same for all attempts
+ * @param idempotencyKey the caller's key, empty if it sent none
  */
 public record CallKey(RequestId id, Optional<IdempotencyKey> idempotencyKey) {
     public CallKey {
--- a/core/src/main/java/org/damaskmoor/core/atmostonce/CallState.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/CallState.java
@@ -13,9 +13,9 @@
     HANDED_OVER,
     /** The upstream answered. */
     ANSWERED,
-    /** Handed over, and no whole answer came: whether it ran is unknown. */
+    /** Handed over without a complete answer: whether it ran is unknown. */
     FAILED,
-    /** Stopped by its entry node before it was handed over. */
+    /** Sealed by its entry node before it was handed over. */
     SEALED,
     /** Refused by the target before it was handed over. */
     REFUSED;
--- a/core/src/main/java/org/damaskmoor/core/atmostonce/CancelResult.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/CancelResult.java
@@ -1,13 +1,16 @@
 package org.damaskmoor.core.atmostonce;
 
-/** What a cancellation by the entry node leads to. Immutable and thread-safe. */
+/** Result of a cancellation by the entry node. Immutable and thread-safe. */
 public enum CancelResult {
-    /** It was queued: it is refused now and never runs. */
+    /** The request was queued; it is now refused and never runs. */
     DROPPED,
-    /** It is handed over: the upstream may be told to stop, and its outcome is still awaited. */
+    /**
+     * The request is handed over: the upstream may be told to stop, and the outcome is still
+     * awaited.
+     */
     RUNNING,
-    /** Another request with the same idempotency key waits for its outcome: it goes on. */
+    /** Another request with the same idempotency key awaits the outcome, so the run continues. */
     STILL_WANTED,
-    /** It has ended already, or is unknown here. */
+    /** The request has already ended or is unknown here. */
     NOTHING_TO_DO
 }
--- a/core/src/main/java/org/damaskmoor/core/atmostonce/EntryAction.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/EntryAction.java
@@ -5,15 +5,15 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * What the entry node has to do next for a request. Immutable and thread-safe.
+ * An action that the entry node must take next for a request. Immutable and thread-safe.
  *
  * <p>Invariant: a request gets exactly one of {@link AnswerCaller}, {@link RefuseCaller} and {@link
- * UnknownToCaller}, or none when its caller is gone.
+ * UnknownToCaller}, or none of them if its caller has disconnected.
  */
 public sealed interface EntryAction {
     /**
-     * Choose a target, call {@link EntryCall#sent} and only when it permits write the call; call
-     * {@link EntryCall#noTarget} when there is no target or the retry budget is empty.
+     * Choose a target, call {@link EntryCall#sent} and write the call only if that returns true;
+     * call {@link EntryCall#noTarget} if there is no target or the retry budget is empty.
      *
      * @param attempt the new attempt
      */
@@ -22,16 +22,16 @@
     /**
      * Ask the target over a new connection to seal the request.
      *
-     * @param attempt the attempt that got no word
+     * @param attempt the attempt without a response
      * @param target the incarnation it was sent to
      */
     record Seal(AttemptId attempt, TargetId target) implements EntryAction {}
 
-    /** Nothing to do but to wait for the next message, timeout or the deadline. */
+    /** Wait for the next message, a timeout or the deadline. */
     record Wait() implements EntryAction {}
 
     /**
-     * Tell a target that its attempt is no longer waited for.
+     * Tell a target that the outcome of its attempt is no longer awaited.
      *
      * @param attempt the attempt
      * @param target the incarnation it was sent to
@@ -39,24 +39,24 @@
     record Cancel(AttemptId attempt, TargetId target) implements EntryAction {}
 
     /**
-     * Give the caller the answer of this attempt, whole.
+     * Send the caller the complete answer of this attempt.
      *
      * @param attempt the attempt that was answered
      */
     record AnswerCaller(AttemptId attempt) implements EntryAction {}
 
     /**
-     * Tell the caller "not run".
+     * Report "not run" to the caller.
      *
      * @param reason why it was not run
      */
     record RefuseCaller(RefusalReason reason) implements EntryAction {}
 
     /**
-     * Tell the caller that it is unknown whether the request ran.
+     * Report to the caller that it is unknown whether the request ran.
      *
-     * @param step where the outcome was lost
-     * @param peer the target at which it was lost
+     * @param step the step at which the outcome became unknown
+     * @param peer the target whose outcome is unknown
      */
     record UnknownToCaller(UnknownOutcomeStep step, NodeId peer) implements EntryAction {}
 }
--- a/core/src/main/java/org/damaskmoor/core/atmostonce/EntryCall.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/EntryCall.java
@@ -8,7 +8,7 @@
 import org.damaskmoor.schema.mesh.SealState;
 
 /**
- * One request of a caller at its entry node, over all of its attempts.
+ * State machine of one request at its entry node, across all of its attempts.
  *
  * <pre>{@code
  * EntryCall call = EntryCall.of(requestId, nonIdempotent);
@@ -19,68 +19,70 @@
  * perform(call.refused(attempt, RefusalReason.QUEUE_FULL)); // a Send again
  * }</pre>
  *
- * <p>Invariants: a non-idempotent request is sent again only after every attempt so far is proved
- * not to have run; "not run" is told to the caller only then too; the caller is told one outcome at
- * most. Messages of another request, of an attempt that was not sent, and messages that come late
- * or twice are ignored: they return an empty list. Each Send is followed by {@link #sent} or {@link
- * #noTarget}, each Seal by {@link #sealResult} or {@link #sealTimeout}; with {@link #deadline}
- * every request ends.
+ * <p>Invariants: a non-idempotent request is sent again, and "not run" is reported to the caller,
+ * only if every attempt so far is proved not to have run; the caller receives at most one outcome.
+ * Messages for another request or for an attempt that was not sent, late messages and duplicates
+ * are ignored: they return an empty list. Each Send must be followed by {@link #sent} or {@link
+ * #noTarget}, each Seal by {@link #sealResult} or {@link #sealTimeout}; {@link #deadline} ends
+ * every request.
  *
  * <p>Not thread-safe: one thread owns a request.
  */
 public interface EntryCall {
-    /** Returns the state machine of a request that was not sent yet. */
+    /** Returns the state machine of a request that has not been sent yet. */
     static EntryCall of(RequestId id, boolean nonIdempotent) {
         return new AttemptTrackingEntryCall(id, nonIdempotent);
     }
 
-    /** Starts the request: the first Send. */
+    /** Starts the request; returns the first Send. */
     List<EntryAction> begin();
 
-    /** Asks for one more attempt beside those that run; nothing for a non-idempotent request. */
+    /** Requests one more, parallel attempt; returns nothing for a non-idempotent request. */
     List<EntryAction> hedge();
 
     /**
      * Registers an attempt, before its frame is written.
      *
-     * @return whether the frame may be written; false when the request ended meanwhile
+     * @return whether the frame may be written; false if the request has ended meanwhile
      */
     boolean sent(AttemptId attempt, TargetId target);
 
-    /** Tells that not one byte of the attempt's frame was written, so that it can't have run. */
+    /** No byte of the attempt's frame was written, so the attempt cannot have run. */
     List<EntryAction> notSent(AttemptId attempt, RefusalReason reason);
 
     /** Answers a Send: no target is left, or the retry budget is empty. */
     List<EntryAction> noTarget(AttemptId attempt, RefusalReason reason);
 
-    /** The target has the call in its ledger. */
+    /** The target recorded the call in its ledger. */
     List<EntryAction> accepted(AttemptId attempt);
 
-    /** The target sent the whole answer. */
+    /** The target sent the complete answer. */
     List<EntryAction> answered(AttemptId attempt);
 
-    /** The target refused; {@code STALE_INCARNATION} proves nothing about the former one. */
+    /**
+     * The target refused; with {@code STALE_INCARNATION} its previous incarnation may have run it.
+     */
     List<EntryAction> refused(AttemptId attempt, RefusalReason reason);
 
-    /** The target handed the call over and got no whole answer. */
+    /** The target handed the call over and received no complete answer. */
     List<EntryAction> failed(AttemptId attempt);
 
-    /** No acceptance came within its time bound. */
+    /** The target did not accept the attempt within the acceptance timeout. */
     List<EntryAction> acceptanceTimeout(AttemptId attempt);
 
-    /** The connection was lost over which the attempt's next message was awaited. */
+    /** The connection that carries the attempt's messages was lost. */
     List<EntryAction> connectionLost(AttemptId attempt);
 
     /** The target answered a seal request. */
     List<EntryAction> sealResult(AttemptId attempt, SealState state);
 
-    /** A seal request could not be sent, or no answer to it came within its time bound. */
+    /** A seal request could not be sent, or was not answered within its timeout. */
     List<EntryAction> sealTimeout(AttemptId attempt);
 
     /** The caller's deadline passed. */
     List<EntryAction> deadline();
 
-    /** The caller closed its connection: nothing more is told to it. */
+    /** The caller closed its connection; no outcome is reported any more. */
     List<EntryAction> callerDisconnected();
 
     /** Returns whether the request has ended. */
--- a/core/src/main/java/org/damaskmoor/core/atmostonce/HandOverResult.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/HandOverResult.java
@@ -2,10 +2,10 @@
 
 /** Whether a queued call may be handed to the upstream. Immutable and thread-safe. */
 public enum HandOverResult {
-    /** Hand it over now. */
+    /** The call must be handed over now. */
     RUN,
-    /** Its deadline passed while it waited: it is refused and never runs. */
+    /** The deadline passed while the call was queued: it is refused and never runs. */
     DEADLINE_PASSED,
-    /** It is not queued (sealed, refused, cancelled, already handed over or unknown). */
+    /** The call is not queued (sealed, refused, cancelled, already handed over or unknown). */
     NOT_QUEUED
 }
--- a/core/src/main/java/org/damaskmoor/core/atmostonce/IdempotencyKey.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/IdempotencyKey.java
@@ -5,14 +5,14 @@
 import org.damaskmoor.core.id.ServiceName;
 
 /**
- * The {@code Idempotency-Key} of a caller, by which its resends join the first run.
+ * A caller's {@code Idempotency-Key}, by which resends of a request join its first run.
  *
- * <p>Two callers, or one caller at two services, may use the same text without meeting. Immutable
- * and thread-safe.
+ * <p>The scope is one caller at one service: others can use the same text without a collision.
+ * Immutable and thread-safe.
  *
  * @param service the service that is called
  * @param caller the caller that chose the key
- * @param key the text as the caller sent it
+ * @param key the text as sent by the caller
  */
 public record IdempotencyKey(ServiceName service, CallerName caller, String key) {
     public IdempotencyKey {
--- a/core/src/main/java/org/damaskmoor/core/atmostonce/LedgerLimits.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/LedgerLimits.java
@@ -6,8 +6,8 @@
  * <p>Invariant: all bounds are positive. Immutable and thread-safe.
  *
  * @param maximumEntries requests kept at once, tombstones and joined resends included
- * @param maximumAnswerBytes bytes of answers kept for resends; the oldest answers go first
- * @param maximumFences entry incarnations that are fenced one by one when the ledger is full
+ * @param maximumAnswerBytes bytes of answers cached for resends; the oldest are evicted first
+ * @param maximumFences entry incarnations that can be fenced individually when the ledger is full
  */
 public record LedgerLimits(int maximumEntries, long maximumAnswerBytes, int maximumFences) {
     public LedgerLimits {
--- a/core/src/main/java/org/damaskmoor/core/atmostonce/TargetLedger.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/TargetLedger.java
@@ -9,7 +9,8 @@
 import org.damaskmoor.schema.mesh.SealState;
 
 /**
- * The target's memory of the calls it got, which makes "not run" a promise.
+ * A target's record of the calls that it received, which guarantees that a request reported as "not
+ * run" never runs here.
  *
  * <pre>{@code
  * TargetLedger ledger = TargetLedger.bounded(ownIncarnation, limits);
@@ -20,15 +21,16 @@
  * }
  * }</pre>
  *
- * <p>Invariants: a request is handed over at most once, unless the upstream truly did not take it
- * ({@link #returned}); only a queued request becomes sealed or refused, and stays so; an entry is
- * dropped only when it has ended and its keep-until time has passed. When no entry is left, a new
- * call is refused, and a fence keeps later copies of it from running: request sequences of an entry
- * incarnation up to the refused one are refused until its keep-until time.
+ * <p>Invariants: a request is handed over at most once, unless the upstream certainly did not run
+ * it ({@link #returned}); only a queued request can become sealed or refused, and both states are
+ * final; an entry is removed only after its request has ended and its keep-until time has passed. A
+ * full ledger refuses a new call, and a fence prevents later copies of it from running: all request
+ * sequences of that entry incarnation up to the refused one are refused until its keep-until time.
  *
- * <p>All copies of a call and its seals must come with keep-until times that do not depend on when
- * they arrive (made from a deadline that they carry, not from a remaining duration). A call or seal
- * that comes after its own is not judged, because what was known of it may have been dropped.
+ * <p>The keep-until times of all copies of a call and its seals must not depend on when they
+ * arrive: derive them from the absolute deadline in the message, not from a remaining duration. A
+ * call or seal that arrives after its keep-until time gets no definite result, because its entry
+ * may already have been removed.
  *
  * <p>Times are nanoseconds of one monotonic clock. Not thread-safe: one thread owns a ledger.
  */
@@ -39,10 +41,10 @@
     }
 
     /**
-     * Records a call that arrived.
+     * Records an incoming call.
      *
      * @param deadlineNanoseconds when the caller stops waiting
-     * @param keepUntilNanoseconds deadline plus clock skew; later when a key should be remembered
+     * @param keepUntilNanoseconds deadline plus clock skew; later to remember an idempotency key
      */
     Acceptance accept(
             CallKey key,
@@ -51,32 +53,40 @@
             long keepUntilNanoseconds,
             long nowNanoseconds);
 
-    /** Asks to hand a queued call to the upstream; only {@link HandOverResult#RUN} permits it. */
+    /**
+     * Asks whether to hand a queued call to the upstream; only {@link HandOverResult#RUN} permits
+     * it.
+     */
     HandOverResult handOver(RequestId id, long nowNanoseconds);
 
     /**
-     * Queues a handed-over call again, because the upstream truly did not run it: its connection
-     * was refused before a byte was written, or it answered "not run".
+     * Queues a handed-over call again, because the upstream certainly did not run it: the
+     * connection was refused before a byte was written, or the upstream answered "not run".
      *
      * @return whether it was handed over
      */
     boolean returned(RequestId id);
 
-    /** Refuses a queued call. Returns whether it was queued, so that "not run" may be told. */
+    /** Refuses a queued call. Returns whether it was queued, so that "not run" may be reported. */
     boolean refuse(RequestId id);
 
     /** Records the serialised answer of a handed-over call. Returns whether it was handed over. */
     boolean answered(RequestId id, ByteString answer);
 
-    /** Records that a handed-over call got no whole answer. Returns whether it was handed over. */
+    /**
+     * Records that a handed-over call received no complete answer. Returns whether it was handed
+     * over.
+     */
     boolean failed(RequestId id);
 
     /**
-     * Stops a call for good unless it was handed over; an unknown call leaves a tombstone.
+     * Prevents a call from ever running unless it was handed over; an unknown call leaves a
+     * tombstone.
      *
-     * @return {@code SEALED}: not run and never will; {@code HANDED_OVER}: its outcome follows or
-     *     is known as failed; {@code ANSWERED}; {@code OTHER_INCARNATION}: proves nothing, also
-     *     when the keep-until time has passed and the call may have been dropped
+     * @return {@code SEALED}: the call has not run and never will; {@code HANDED_OVER}: its outcome
+     *     follows or it has failed; {@code ANSWERED}: it was answered; {@code OTHER_INCARNATION}:
+     *     whether it ran is unknown, which is also the result after the keep-until time, when the
+     *     entry may have been removed
      */
     SealState seal(
             RequestId id,
@@ -84,21 +94,24 @@
             long keepUntilNanoseconds,
             long nowNanoseconds);
 
-    /** Tells that the entry node no longer waits for a call. */
+    /** Cancels a call whose outcome the entry node no longer awaits. */
     CancelResult cancel(RequestId id);
 
-    /** Drops what has ended and whose keep-until time has passed. */
+    /** Removes ended requests and fences whose keep-until time has passed. */
     void expire(long nowNanoseconds);
 
-    /** Returns the state of a request as it concerns that id, empty when it is unknown. */
+    /** Returns the state of a request as seen by that id, empty if it is unknown. */
     Optional<CallState> state(RequestId id);
 
-    /** Returns the kept answer that this request gets, empty when there is none. */
+    /** Returns the cached answer to this request, empty if there is none. */
     Optional<ByteString> answer(RequestId id);
 
-    /** Returns the ids that get the outcome of this run: its own first, then those that joined. */
+    /**
+     * Returns the ids that share this request's run: the run's own id first, then the joined
+     * resends.
+     */
     List<RequestId> requestsSharingRun(RequestId id);
 
-    /** Returns the number of entries now kept. */
+    /** Returns the current number of entries. */
     int size();
 }
--- a/core/src/main/java/org/damaskmoor/core/atmostonce/UnknownOutcomeStep.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/UnknownOutcomeStep.java
@@ -2,13 +2,13 @@
 
 /** The step at which the outcome of a request became unknown. Immutable and thread-safe. */
 public enum UnknownOutcomeStep {
-    /** The target handed it over and got no whole answer. */
+    /** The target handed the request over and received no complete answer. */
     UPSTREAM("upstream"),
-    /** The target did not tell whether it sealed the request. */
+    /** The target did not confirm whether it sealed the request. */
     SEAL("seal"),
-    /** The target restarted; nothing is known of its former incarnation. */
+    /** The target restarted, which lost its previous incarnation's ledger. */
     TARGET_RESTARTED("target-restarted"),
-    /** The caller's deadline passed while the request may be running. */
+    /** The caller's deadline passed while the request may have been running. */
     DEADLINE("deadline");
 
     private final String wireName;
@@ -17,7 +17,7 @@
         this.wireName = wireName;
     }
 
-    /** Returns the name as callers see it. */
+    /** Returns the name that callers receive. */
     public String wireName() {
         return wireName;
     }
--- a/core/src/main/java/org/damaskmoor/core/atmostonce/internal/AnswerCache.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/internal/AnswerCache.java
@@ -7,9 +7,9 @@
 import java.util.Set;
 
 /**
- * Keeps the newest answers up to a number of bytes.
+ * Caches answers of ledger entries up to a total number of bytes, evicting the oldest first.
  *
- * <p>Invariant: the answers that entries hold never exceed the bound together. Not thread-safe.
+ * <p>Invariant: the total size of the cached answers never exceeds the bound. Not thread-safe.
  */
 final class AnswerCache {
     private final long maximumBytes;
@@ -29,13 +29,13 @@
         bytes += answer.size();
         Iterator<LedgerEntry> oldest = oldestFirst.iterator();
         while (bytes > maximumBytes) {
-            LedgerEntry forgotten = oldest.next();
+            LedgerEntry evicted = oldest.next();
             oldest.remove();
-            clear(forgotten);
+            clear(evicted);
         }
     }
 
-    /** Forgets the answer of an entry that leaves the ledger. */
+    /** Removes the answer of an entry that is removed from the ledger. */
     void remove(LedgerEntry entry) {
         if (oldestFirst.remove(entry)) {
             clear(entry);
--- a/core/src/main/java/org/damaskmoor/core/atmostonce/internal/Attempt.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/internal/Attempt.java
@@ -5,33 +5,33 @@
 import org.damaskmoor.core.id.TargetId;
 
 /**
- * One attempt at a request, as its entry node knows it.
+ * State of one attempt at a request, as known to its entry node.
  *
- * <p>Invariant: {@link Knowledge#NOT_RUN} is final, because a target never takes back a refusal or
- * a seal. Not thread-safe.
+ * <p>Invariant: {@link State#NOT_RUN} is final, because a target never revokes a refusal or a seal.
+ * Not thread-safe.
  */
 final class Attempt {
-    /** What is known of the attempt. */
-    enum Knowledge {
-        /** Written, no word yet. */
+    /** What the entry node knows about the attempt. */
+    enum State {
+        /** Sent, without a response so far. */
         SENT,
-        /** In the target's ledger. */
+        /** Recorded in the target's ledger. */
         ACCEPTED,
         /** The target was asked to seal it. */
         SEALING,
-        /** The target could not seal it any more: its outcome follows. */
+        /** The target could no longer seal it; its outcome follows. */
         HANDED_OVER,
-        /** Its whole answer came. */
+        /** The complete answer arrived. */
         ANSWERED,
         /** Proved not to have run. */
         NOT_RUN,
-        /** Given up: it may have run. */
+        /** The outcome is no longer awaited; it may have run. */
         UNKNOWN
     }
 
     final AttemptId id;
     final TargetId target;
-    Knowledge knowledge = Knowledge.SENT;
+    State state = State.SENT;
     UnknownOutcomeStep unknownStep = UnknownOutcomeStep.DEADLINE;
 
     Attempt(AttemptId id, TargetId target) {
@@ -39,20 +39,20 @@
         this.target = target;
     }
 
-    /** Whether its outcome is still awaited. */
+    /** Returns whether the outcome is still awaited. */
     boolean isOpen() {
-        return switch (knowledge) {
+        return switch (state) {
             case SENT, ACCEPTED, SEALING, HANDED_OVER -> true;
             case ANSWERED, NOT_RUN, UNKNOWN -> false;
         };
     }
 
     boolean isNotRun() {
-        return knowledge == Knowledge.NOT_RUN;
+        return state == State.NOT_RUN;
     }
 
     void markUnknown(UnknownOutcomeStep step) {
-        knowledge = Knowledge.UNKNOWN;
+        state = State.UNKNOWN;
         unknownStep = step;
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/atmostonce/internal/AttemptTrackingEntryCall.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/internal/AttemptTrackingEntryCall.java
@@ -8,14 +8,14 @@
 import org.damaskmoor.core.atmostonce.EntryAction;
 import org.damaskmoor.core.atmostonce.EntryCall;
 import org.damaskmoor.core.atmostonce.UnknownOutcomeStep;
-import org.damaskmoor.core.atmostonce.internal.Attempt.Knowledge;
+import org.damaskmoor.core.atmostonce.internal.Attempt.State;
 import org.damaskmoor.core.id.RequestId;
 import org.damaskmoor.core.id.TargetId;
 import org.damaskmoor.schema.mesh.RefusalReason;
 import org.damaskmoor.schema.mesh.SealState;
 
 /**
- * Keeps what is known of each attempt and derives the next step from all of them.
+ * Tracks the state of each attempt and derives the next actions from all of them.
  *
  * <p>Invariant: at most one Send is pending; a non-idempotent request has no Send pending while an
  * attempt may run. Not thread-safe.
@@ -74,19 +74,19 @@
         }
         sendPending = false;
         lastReason = reason;
-        return attempts.stream().anyMatch(Attempt::isOpen) ? waiting() : conclude();
+        return attempts.stream().anyMatch(Attempt::isOpen) ? waitAction() : finishWithoutAnswer();
     }
 
     @Override
     public List<EntryAction> notSent(AttemptId attempt, RefusalReason reason) {
-        return provedNotRun(attempt, reason);
+        return onNotRun(attempt, reason);
     }
 
     @Override
     public List<EntryAction> accepted(AttemptId attemptId) {
-        Optional<Attempt> sent = find(attemptId, Knowledge.SENT);
-        sent.ifPresent(attempt -> attempt.knowledge = Knowledge.ACCEPTED);
-        return sent.isPresent() ? waiting() : List.of();
+        Optional<Attempt> sent = find(attemptId, State.SENT);
+        sent.ifPresent(attempt -> attempt.state = State.ACCEPTED);
+        return sent.isPresent() ? waitAction() : List.of();
     }
 
     @Override
@@ -95,63 +95,63 @@
         if (attempt.isEmpty()) {
             return List.of();
         }
-        attempt.get().knowledge = Knowledge.ANSWERED;
+        attempt.get().state = State.ANSWERED;
         return finish(new EntryAction.AnswerCaller(attemptId));
     }
 
     @Override
     public List<EntryAction> refused(AttemptId attemptId, RefusalReason reason) {
         if (reason == RefusalReason.STALE_INCARNATION) {
-            return gaveUp(attemptId, UnknownOutcomeStep.TARGET_RESTARTED);
+            return onUnknownOutcome(attemptId, UnknownOutcomeStep.TARGET_RESTARTED);
         }
-        return provedNotRun(attemptId, reason);
+        return onNotRun(attemptId, reason);
     }
 
     @Override
     public List<EntryAction> failed(AttemptId attemptId) {
-        return gaveUp(attemptId, UnknownOutcomeStep.UPSTREAM);
+        return onUnknownOutcome(attemptId, UnknownOutcomeStep.UPSTREAM);
     }
 
-    private List<EntryAction> provedNotRun(AttemptId attemptId, RefusalReason reason) {
+    private List<EntryAction> onNotRun(AttemptId attemptId, RefusalReason reason) {
         Optional<Attempt> attempt = find(attemptId).filter(known -> !known.isNotRun());
         if (attempt.isEmpty()) {
             return List.of();
         }
-        attempt.get().knowledge = Knowledge.NOT_RUN;
+        attempt.get().state = State.NOT_RUN;
         lastReason = reason;
         return sendOrWait();
     }
 
-    private List<EntryAction> gaveUp(AttemptId attemptId, UnknownOutcomeStep step) {
+    private List<EntryAction> onUnknownOutcome(AttemptId attemptId, UnknownOutcomeStep step) {
         Optional<Attempt> attempt = find(attemptId).filter(Attempt::isOpen);
         if (attempt.isEmpty()) {
             return List.of();
         }
         attempt.get().markUnknown(step);
-        return nonIdempotent ? conclude() : sendOrWait();
+        return nonIdempotent ? finishWithoutAnswer() : sendOrWait();
     }
 
     private List<EntryAction> sendOrWait() {
         boolean open = attempts.stream().anyMatch(Attempt::isOpen);
-        return open || sendPending ? waiting() : send();
+        return open || sendPending ? waitAction() : send();
     }
 
     @Override
     public List<EntryAction> acceptanceTimeout(AttemptId attemptId) {
-        return find(attemptId, Knowledge.SENT).map(this::seal).orElse(List.of());
+        return find(attemptId, State.SENT).map(this::seal).orElse(List.of());
     }
 
     @Override
     public List<EntryAction> connectionLost(AttemptId attemptId) {
         return find(attemptId)
                 .filter(Attempt::isOpen)
-                .filter(attempt -> attempt.knowledge != Knowledge.SEALING)
+                .filter(attempt -> attempt.state != State.SEALING)
                 .map(this::seal)
                 .orElse(List.of());
     }
 
     private List<EntryAction> seal(Attempt attempt) {
-        attempt.knowledge = Knowledge.SEALING;
+        attempt.state = State.SEALING;
         List<EntryAction> actions = new ArrayList<>(2);
         actions.add(new EntryAction.Seal(attempt.id, attempt.target));
         if (!nonIdempotent) {
@@ -163,25 +163,26 @@
     @Override
     public List<EntryAction> sealResult(AttemptId attemptId, SealState state) {
         return switch (state) {
-            case SEALED -> provedNotRun(attemptId, RefusalReason.SEALED_AFTER_SILENCE);
-            case HANDED_OVER, ANSWERED -> outcomeFollows(attemptId);
-            case OTHER_INCARNATION -> gaveUp(attemptId, UnknownOutcomeStep.TARGET_RESTARTED);
-            default -> gaveUp(attemptId, UnknownOutcomeStep.SEAL);
+            case SEALED -> onNotRun(attemptId, RefusalReason.SEALED_AFTER_SILENCE);
+            case HANDED_OVER, ANSWERED -> onHandedOver(attemptId);
+            case OTHER_INCARNATION ->
+                    onUnknownOutcome(attemptId, UnknownOutcomeStep.TARGET_RESTARTED);
+            default -> onUnknownOutcome(attemptId, UnknownOutcomeStep.SEAL);
         };
     }
 
-    private List<EntryAction> outcomeFollows(AttemptId attemptId) {
-        Optional<Attempt> sealing = find(attemptId, Knowledge.SEALING);
-        sealing.ifPresent(attempt -> attempt.knowledge = Knowledge.HANDED_OVER);
-        return sealing.isPresent() ? waiting() : List.of();
+    private List<EntryAction> onHandedOver(AttemptId attemptId) {
+        Optional<Attempt> sealing = find(attemptId, State.SEALING);
+        sealing.ifPresent(attempt -> attempt.state = State.HANDED_OVER);
+        return sealing.isPresent() ? waitAction() : List.of();
     }
 
     @Override
     public List<EntryAction> sealTimeout(AttemptId attemptId) {
-        if (find(attemptId, Knowledge.SEALING).isEmpty()) {
+        if (find(attemptId, State.SEALING).isEmpty()) {
             return List.of();
         }
-        return gaveUp(attemptId, UnknownOutcomeStep.SEAL);
+        return onUnknownOutcome(attemptId, UnknownOutcomeStep.SEAL);
     }
 
     @Override
@@ -190,7 +191,7 @@
             return List.of();
         }
         lastReason = RefusalReason.DEADLINE_PASSED;
-        return conclude();
+        return finishWithoutAnswer();
     }
 
     @Override
@@ -199,7 +200,7 @@
             return List.of();
         }
         finished = true;
-        return cancellations();
+        return cancelOpenAttempts();
     }
 
     @Override
@@ -207,8 +208,8 @@
         return finished;
     }
 
-    /** Ends the request without an answer: "not run" only when that holds for all attempts. */
-    private List<EntryAction> conclude() {
+    /** Ends the request without an answer: as "not run" only if that is proved for all attempts. */
+    private List<EntryAction> finishWithoutAnswer() {
         for (Attempt attempt : attempts) {
             if (!attempt.isNotRun()) {
                 return finish(
@@ -223,11 +224,11 @@
         finished = true;
         List<EntryAction> actions = new ArrayList<>(1 + attempts.size());
         actions.add(outcome);
-        actions.addAll(cancellations());
+        actions.addAll(cancelOpenAttempts());
         return actions;
     }
 
-    private List<EntryAction> cancellations() {
+    private List<EntryAction> cancelOpenAttempts() {
         List<EntryAction> actions = new ArrayList<>(attempts.size());
         for (Attempt attempt : attempts) {
             if (attempt.isOpen()) {
@@ -244,11 +245,11 @@
         return attempts.stream().filter(attempt -> attempt.id.equals(attemptId)).findFirst();
     }
 
-    private Optional<Attempt> find(AttemptId attemptId, Knowledge knowledge) {
-        return find(attemptId).filter(attempt -> attempt.knowledge == knowledge);
+    private Optional<Attempt> find(AttemptId attemptId, State state) {
+        return find(attemptId).filter(attempt -> attempt.state == state);
     }
 
-    private static List<EntryAction> waiting() {
+    private static List<EntryAction> waitAction() {
         return List.of(new EntryAction.Wait());
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/atmostonce/internal/BoundedTargetLedger.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/internal/BoundedTargetLedger.java
@@ -21,17 +21,17 @@
 import org.damaskmoor.schema.mesh.SealState;
 
 /**
- * A ledger in hash tables of bounded size.
+ * In-memory ledger with a bounded number of entries.
  *
- * <p>Invariants: {@code runs} names for each idempotency key the one run that may have happened
- * here, and no run that truly did not; the number of entries never exceeds the limit. Not
- * thread-safe.
+ * <p>Invariants: {@code runsByKey} maps an idempotency key to the only run with it that may have
+ * executed here, never to one that certainly did not; the number of entries never exceeds the
+ * limit. Not thread-safe.
  */
 public final class BoundedTargetLedger implements TargetLedger {
     private final Incarnation ownIncarnation;
     private final LedgerLimits limits;
     private final Map<RequestId, LedgerEntry> entries = new HashMap<>();
-    private final Map<IdempotencyKey, LedgerEntry> runs = new HashMap<>();
+    private final Map<IdempotencyKey, LedgerEntry> runsByKey = new HashMap<>();
     private final ExpiryQueue expiry = new ExpiryQueue();
     private final AnswerCache answers;
     private final EntryFences fences;
@@ -51,16 +51,16 @@
             long keepUntilNanoseconds,
             long nowNanoseconds) {
         if (!targetIncarnation.equals(ownIncarnation)) {
-            return notJudged(AcceptanceResult.WRONG_INCARNATION, key);
+            return unknownOutcome(AcceptanceResult.WRONG_INCARNATION, key);
         }
-        LedgerEntry known = entries.get(key.id());
-        if (known != null) {
-            return duplicate(known, keepUntilNanoseconds);
+        LedgerEntry existing = entries.get(key.id());
+        if (existing != null) {
+            return duplicate(existing, keepUntilNanoseconds);
         }
         if (keepUntilNanoseconds <= nowNanoseconds) {
-            return notJudged(AcceptanceResult.TOO_LATE, key);
+            return unknownOutcome(AcceptanceResult.TOO_LATE, key);
         }
-        LedgerEntry run = key.idempotencyKey().map(runs::get).orElse(null);
+        LedgerEntry run = key.idempotencyKey().map(runsByKey::get).orElse(null);
         if (run != null) {
             return join(run, key, deadlineNanoseconds, keepUntilNanoseconds);
         }
@@ -76,24 +76,24 @@
 
     private Acceptance queue(LedgerEntry entry) {
         add(entry);
-        entry.idempotencyKey.ifPresent(idempotencyKey -> runs.put(idempotencyKey, entry));
+        entry.idempotencyKey.ifPresent(idempotencyKey -> runsByKey.put(idempotencyKey, entry));
         return acceptance(AcceptanceResult.ACCEPTED, entry);
     }
 
-    private Acceptance duplicate(LedgerEntry known, long keepUntilNanoseconds) {
-        known.extendRetention(keepUntilNanoseconds);
-        if (known.visibleState() == CallState.SEALED) {
-            return acceptance(AcceptanceResult.SEALED_ALREADY, known);
+    private Acceptance duplicate(LedgerEntry existing, long keepUntilNanoseconds) {
+        existing.extendRetention(keepUntilNanoseconds);
+        if (existing.visibleState() == CallState.SEALED) {
+            return acceptance(AcceptanceResult.SEALED_ALREADY, existing);
         }
         AcceptanceResult result =
-                known.isResend() ? AcceptanceResult.JOINED : AcceptanceResult.DUPLICATE;
-        return acceptance(result, known);
+                existing.isResend() ? AcceptanceResult.JOINED : AcceptanceResult.DUPLICATE;
+        return acceptance(result, existing);
     }
 
     private Acceptance join(
             LedgerEntry run, CallKey key, long deadlineNanoseconds, long keepUntilNanoseconds) {
         if (isFull()) {
-            // Without an entry it can't be told the outcome later, and "not run" may be untrue.
+            // Without an entry the resend gets no later outcome, and "not run" might be false.
             return new Acceptance(
                     AcceptanceResult.JOINED, run.id, CallState.FAILED, Optional.empty());
         }
@@ -115,7 +115,7 @@
         return new Acceptance(result, key.id(), CallState.REFUSED, Optional.empty());
     }
 
-    private static Acceptance notJudged(AcceptanceResult result, CallKey key) {
+    private static Acceptance unknownOutcome(AcceptanceResult result, CallKey key) {
         return new Acceptance(result, key.id(), CallState.FAILED, Optional.empty());
     }
 
@@ -125,7 +125,7 @@
 
     @Override
     public HandOverResult handOver(RequestId id, long nowNanoseconds) {
-        LedgerEntry entry = ownRun(id, CallState.QUEUED);
+        LedgerEntry entry = findRun(id, CallState.QUEUED);
         if (entry == null) {
             return HandOverResult.NOT_QUEUED;
         }
@@ -139,7 +139,7 @@
 
     @Override
     public boolean returned(RequestId id) {
-        LedgerEntry entry = ownRun(id, CallState.HANDED_OVER);
+        LedgerEntry entry = findRun(id, CallState.HANDED_OVER);
         if (entry == null) {
             return false;
         }
@@ -149,7 +149,7 @@
 
     @Override
     public boolean refuse(RequestId id) {
-        LedgerEntry entry = ownRun(id, CallState.QUEUED);
+        LedgerEntry entry = findRun(id, CallState.QUEUED);
         if (entry == null) {
             return false;
         }
@@ -159,7 +159,7 @@
 
     @Override
     public boolean answered(RequestId id, ByteString answer) {
-        LedgerEntry entry = ownRun(id, CallState.HANDED_OVER);
+        LedgerEntry entry = findRun(id, CallState.HANDED_OVER);
         if (entry == null) {
             return false;
         }
@@ -170,7 +170,7 @@
 
     @Override
     public boolean failed(RequestId id) {
-        LedgerEntry entry = ownRun(id, CallState.HANDED_OVER);
+        LedgerEntry entry = findRun(id, CallState.HANDED_OVER);
         if (entry == null) {
             return false;
         }
@@ -192,7 +192,7 @@
             return SealState.OTHER_INCARNATION;
         }
         if (entry == null) {
-            leaveTombstone(id, keepUntilNanoseconds);
+            addTombstone(id, keepUntilNanoseconds);
             return SealState.SEALED;
         }
         entry.extendRetention(keepUntilNanoseconds);
@@ -202,7 +202,7 @@
         return sealState(entry.visibleState());
     }
 
-    private void leaveTombstone(RequestId id, long keepUntilNanoseconds) {
+    private void addTombstone(RequestId id, long keepUntilNanoseconds) {
         if (isFull()) {
             fences.add(id, keepUntilNanoseconds);
         } else {
@@ -210,7 +210,10 @@
         }
     }
 
-    /** A resend of a queued run counts as handed over, because that run is not stopped for it. */
+    /**
+     * Reports a resend of a queued run as handed over, because sealing the resend does not stop the
+     * run.
+     */
     private static SealState sealState(CallState state) {
         return switch (state) {
             case SEALED, REFUSED -> SealState.SEALED;
@@ -235,14 +238,14 @@
         return CancelResult.DROPPED;
     }
 
-    private LedgerEntry ownRun(RequestId id, CallState state) {
+    private LedgerEntry findRun(RequestId id, CallState state) {
         LedgerEntry entry = entries.get(id);
         boolean matches = entry != null && !entry.isResend() && entry.state == state;
         return matches ? entry : null;
     }
 
     private void endWithoutRun(LedgerEntry entry, CallState state) {
-        entry.idempotencyKey.ifPresent(idempotencyKey -> runs.remove(idempotencyKey, entry));
+        entry.idempotencyKey.ifPresent(idempotencyKey -> runsByKey.remove(idempotencyKey, entry));
         end(entry, state);
     }
 
@@ -256,14 +259,14 @@
 
     @Override
     public void expire(long nowNanoseconds) {
-        expiry.removeExpired(nowNanoseconds, this::drop);
+        expiry.removeExpired(nowNanoseconds, this::remove);
         fences.expire(nowNanoseconds);
     }
 
-    private void drop(LedgerEntry entry) {
+    private void remove(LedgerEntry entry) {
         entries.remove(entry.id);
         answers.remove(entry);
-        entry.idempotencyKey.ifPresent(idempotencyKey -> runs.remove(idempotencyKey, entry));
+        entry.idempotencyKey.ifPresent(idempotencyKey -> runsByKey.remove(idempotencyKey, entry));
     }
 
     @Override
--- a/core/src/main/java/org/damaskmoor/core/atmostonce/internal/EntryFences.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/internal/EntryFences.java
@@ -7,35 +7,36 @@
 import org.damaskmoor.core.id.RequestId;
 
 /**
- * Remembers refused requests in constant space per entry incarnation, for a ledger without room.
+ * Remembers the requests that a full ledger refused, in constant space per entry incarnation.
  *
- * <p>Invariant: once {@link #add} returned, {@link #isFenced} holds for that id until the given
- * time, whatever else is raised. It may hold for other ids too, which are then refused without
- * need, but never run. When too many entry incarnations are fenced, all ids are. Not thread-safe.
+ * <p>Invariant: after {@link #add}, {@link #isFenced} is true for that id until the given time,
+ * regardless of later calls. It may also be true for other ids, which are then refused
+ * unnecessarily, but never run. When too many entry incarnations are fenced, every id is. Not
+ * thread-safe.
  */
 final class EntryFences {
     private final int maximumFences;
-    private final Map<Entry, Fence> fences = new HashMap<>();
-    private long everyIdUntilNanoseconds = Long.MIN_VALUE;
+    private final Map<EntryIncarnation, Fence> fences = new HashMap<>();
+    private long allFencedUntilNanoseconds = Long.MIN_VALUE;
 
     EntryFences(int maximumFences) {
         this.maximumFences = maximumFences;
     }
 
     void add(RequestId id, long untilNanoseconds) {
-        Entry entry = Entry.of(id);
+        EntryIncarnation entry = EntryIncarnation.of(id);
         if (!fences.containsKey(entry) && fences.size() >= maximumFences) {
-            everyIdUntilNanoseconds = Math.max(everyIdUntilNanoseconds, untilNanoseconds);
+            allFencedUntilNanoseconds = Math.max(allFencedUntilNanoseconds, untilNanoseconds);
             return;
         }
-        fences.merge(entry, new Fence(id.sequence(), untilNanoseconds), Fence::highest);
+        fences.merge(entry, new Fence(id.sequence(), untilNanoseconds), Fence::max);
     }
 
     boolean isFenced(RequestId id, long nowNanoseconds) {
-        if (nowNanoseconds < everyIdUntilNanoseconds) {
+        if (nowNanoseconds < allFencedUntilNanoseconds) {
             return true;
         }
-        Fence fence = fences.get(Entry.of(id));
+        Fence fence = fences.get(EntryIncarnation.of(id));
         return fence != null
                 && id.sequence() <= fence.sequence()
                 && nowNanoseconds < fence.untilNanoseconds();
@@ -45,14 +46,14 @@
         fences.values().removeIf(fence -> fence.untilNanoseconds() <= nowNanoseconds);
     }
 
-    private record Entry(NodeId node, Incarnation incarnation) {
-        static Entry of(RequestId id) {
-            return new Entry(id.entryNode(), id.entryIncarnation());
+    private record EntryIncarnation(NodeId node, Incarnation incarnation) {
+        static EntryIncarnation of(RequestId id) {
+            return new EntryIncarnation(id.entryNode(), id.entryIncarnation());
         }
     }
 
     private record Fence(long sequence, long untilNanoseconds) {
-        Fence highest(Fence other) {
+        Fence max(Fence other) {
             return new Fence(
                     Math.max(sequence, other.sequence),
                     Math.max(untilNanoseconds, other.untilNanoseconds));
--- a/core/src/main/java/org/damaskmoor/core/atmostonce/internal/ExpiryQueue.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/internal/ExpiryQueue.java
@@ -5,10 +5,10 @@
 import java.util.function.Consumer;
 
 /**
- * Orders entries by the time until which they are kept.
+ * Orders ledger entries by their keep-until time.
  *
- * <p>Invariant: an entry is handed out only when its run has ended and its keep-until time, as it
- * stands then, has passed. Each entry is in the queue once, or waits for {@link #onRunEnded}. Not
+ * <p>Invariant: an entry is removed for good only when its run has ended and its current keep-until
+ * time has passed. Each entry is in the queue once, or outside it until {@link #onRunEnded}. Not
  * thread-safe.
  */
 final class ExpiryQueue {
@@ -20,14 +20,14 @@
         queue.add(new Due(entry.keepUntilNanoseconds, entry));
     }
 
-    /** Puts an entry back that had outlived its time while it was still running. */
+    /** Requeues an entry whose keep-until time passed while it was still running. */
     void onRunEnded(LedgerEntry entry) {
         if (entry.expiryPending) {
             add(entry);
         }
     }
 
-    void removeExpired(long nowNanoseconds, Consumer<LedgerEntry> drop) {
+    void removeExpired(long nowNanoseconds, Consumer<LedgerEntry> remove) {
         while (!queue.isEmpty() && queue.peek().atNanoseconds() <= nowNanoseconds) {
             LedgerEntry entry = queue.remove().entry();
             if (entry.keepUntilNanoseconds > nowNanoseconds) {
@@ -35,7 +35,7 @@
             } else if (!entry.run.state.isFinal()) {
                 entry.expiryPending = true;
             } else {
-                drop.accept(entry);
+                remove.accept(entry);
             }
         }
     }
--- a/core/src/main/java/org/damaskmoor/core/atmostonce/internal/LedgerEntry.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/internal/LedgerEntry.java
@@ -20,7 +20,7 @@
     final Optional<IdempotencyKey> idempotencyKey;
     final LedgerEntry run;
 
-    /** Resends that still wait for the outcome of this run. */
+    /** Resends that joined before this run ended. */
     final List<RequestId> joined = new ArrayList<>(0);
 
     CallState state;
@@ -28,7 +28,7 @@
     long keepUntilNanoseconds;
     Optional<ByteString> answer = Optional.empty();
 
-    /** Whether the entry left the expiry queue because it had not ended yet. */
+    /** Whether the entry left the expiry queue because its run had not ended yet. */
     boolean expiryPending;
 
     private LedgerEntry(CallKey key, LedgerEntry run, CallState state, long keepUntil) {
@@ -49,7 +49,9 @@
         return new LedgerEntry(CallKey.of(id), null, CallState.SEALED, keepUntilNanoseconds);
     }
 
-    /** Joins a resend to this run, which is then kept and waited for as long as the resend. */
+    /**
+     * Joins a resend to this run, extending the run's deadline and keep-until time to the resend's.
+     */
     LedgerEntry join(CallKey resend, long deadlineNanoseconds, long keepUntilNanoseconds) {
         this.deadlineNanoseconds = Math.max(this.deadlineNanoseconds, deadlineNanoseconds);
         extendRetention(keepUntilNanoseconds);
@@ -70,7 +72,7 @@
         return run != this;
     }
 
-    /** The state as it concerns this id: a resend of a sealed run was refused, not sealed. */
+    /** Returns the state as seen by this id: a resend of a sealed run was refused, not sealed. */
     CallState visibleState() {
         if (isResend() && run.state == CallState.SEALED) {
             return CallState.REFUSED;
--- a/core/src/main/java/org/damaskmoor/core/atmostonce/internal/package-info.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/internal/package-info.java
@@ -1,2 +1,2 @@
-/** Implementations of the at-most-once state machines. Not for use outside of the package above. */
+/** Implementations of the at-most-once state machines. Not for use outside the parent package. */
 package org.damaskmoor.core.atmostonce.internal;
--- a/core/src/test/java/org/damaskmoor/core/atmostonce/AtMostOncePropertyTest.java
+++ b/core/src/test/java/org/damaskmoor/core/atmostonce/AtMostOncePropertyTest.java
@@ -5,12 +5,13 @@
 
 class AtMostOncePropertyTest {
     @Property(tries = 5_000, seed = "20261204")
-    void should_run_at_most_once_and_refuse_truthfully_when_anything_fails(@ForAll long seed) {
+    void should_run_at_most_once_and_report_not_run_correctly_when_anything_fails(
+            @ForAll long seed) {
         new AtMostOnceSimulation(seed, AtMostOnceScenario.nonIdempotentRequests()).run();
     }
 
     @Property(tries = 2_000, seed = "20261205")
-    void should_refuse_truthfully_when_idempotent_requests_are_retried(@ForAll long seed) {
+    void should_report_not_run_correctly_when_idempotent_requests_are_retried(@ForAll long seed) {
         new AtMostOnceSimulation(seed, AtMostOnceScenario.idempotentRequests()).run();
     }
 
--- a/core/src/test/java/org/damaskmoor/core/atmostonce/AtMostOnceScenario.java
+++ b/core/src/test/java/org/damaskmoor/core/atmostonce/AtMostOnceScenario.java
@@ -3,14 +3,14 @@
 import java.util.function.UnaryOperator;
 
 /**
- * What a simulated world consists of. Immutable.
+ * Parameters of a simulation. Immutable.
  *
  * @param targets the number of target nodes
  * @param restarts whether targets restart
  * @param sharedKey whether all requests carry one idempotency key
  * @param nonIdempotent whether requests must run at most once
- * @param ledgers wraps each target's ledger, to break a guard
- * @param calls wraps each entry call, to break a guard
+ * @param ledgers wraps each target's ledger, to remove a guard
+ * @param calls wraps each entry call, to remove a guard
  */
 record AtMostOnceScenario(
         int targets,
@@ -29,17 +29,18 @@
                 3, true, false, false, UnaryOperator.identity(), UnaryOperator.identity());
     }
 
-    /** Resends meet at one target; without a claim no more is promised. */
+    /** Uses one target, because without a claim resends are only deduplicated per target. */
     static AtMostOnceScenario resends() {
         return new AtMostOnceScenario(
                 1, false, true, true, UnaryOperator.identity(), UnaryOperator.identity());
     }
 
-    AtMostOnceScenario withLedgers(UnaryOperator<TargetLedger> broken) {
-        return new AtMostOnceScenario(targets, restarts, sharedKey, nonIdempotent, broken, calls);
+    AtMostOnceScenario withLedgers(UnaryOperator<TargetLedger> mutation) {
+        return new AtMostOnceScenario(targets, restarts, sharedKey, nonIdempotent, mutation, calls);
     }
 
-    AtMostOnceScenario withCalls(UnaryOperator<EntryCall> broken) {
-        return new AtMostOnceScenario(targets, restarts, sharedKey, nonIdempotent, ledgers, broken);
+    AtMostOnceScenario withCalls(UnaryOperator<EntryCall> mutation) {
+        return new AtMostOnceScenario(
+                targets, restarts, sharedKey, nonIdempotent, ledgers, mutation);
     }
 }
--- a/core/src/test/java/org/damaskmoor/core/atmostonce/AtMostOnceSimulation.java
+++ b/core/src/test/java/org/damaskmoor/core/atmostonce/AtMostOnceSimulation.java
@@ -15,33 +15,35 @@
 import org.damaskmoor.core.id.ServiceName;
 
 /**
- * Entries, targets and a network that loses, repeats and reorders messages, stepped at random.
+ * Randomly advances simulated entry nodes, targets and a network that loses, duplicates and
+ * reorders messages.
  *
- * <p>Invariants checked at each step: a non-idempotent request (or key) runs at most once; what was
- * told "not run" has not run and never does; a caller gets one outcome, and only its own answer.
- * Every timeout may fire at any time, so the invariants depend on no timing. Not thread-safe.
+ * <p>Invariants checked at each step: a non-idempotent request (or key) runs at most once; a
+ * request reported as "not run" has not run and never does; a caller receives one outcome, and only
+ * the answer to its own request. Every timeout may fire at any time, so the invariants do not
+ * depend on timing. Not thread-safe.
  */
 final class AtMostOnceSimulation {
     static final long DEADLINE_NANOSECONDS = 30;
     static final long SKEW_NANOSECONDS = 10;
     private static final int REQUESTS = 3;
     private static final int STEPS = 300;
-    private static final int STEPS_AFTER_THE_END = 100;
+    private static final int STEPS_AFTER_DEADLINE = 100;
 
     final Random random;
-    final AtMostOnceScenario setup;
+    final AtMostOnceScenario scenario;
     final List<FakeTarget> targets = new ArrayList<>();
     long nowNanoseconds;
     private final List<FakeEntry> entries = new ArrayList<>();
     private final List<Runnable> network = new ArrayList<>();
     private final Map<Object, Integer> runs = new HashMap<>();
-    private final Set<RequestId> toldNotRun = new HashSet<>();
-    private final Set<RequestId> told = new HashSet<>();
+    private final Set<RequestId> reportedNotRun = new HashSet<>();
+    private final Set<RequestId> reported = new HashSet<>();
 
-    AtMostOnceSimulation(long seed, AtMostOnceScenario setup) {
+    AtMostOnceSimulation(long seed, AtMostOnceScenario scenario) {
         this.random = new Random(seed);
-        this.setup = setup;
-        for (int i = 0; i < setup.targets(); i++) {
+        this.scenario = scenario;
+        for (int i = 0; i < scenario.targets(); i++) {
             targets.add(new FakeTarget(this, new NodeId("target-" + i)));
         }
         for (int i = 1; i <= REQUESTS; i++) {
@@ -50,16 +52,16 @@
         }
     }
 
-    /** Runs the world to its end. Throws {@link BrokenInvariant}. */
+    /** Runs the simulation to completion. Throws {@link InvariantViolation}. */
     void run() {
         for (int i = 0; i < STEPS; i++) {
             step();
         }
         for (FakeEntry entry : entries) {
             entry.endAtDeadline();
-            check(told.contains(entry.id), "ended", entry.id);
+            check(reported.contains(entry.id), "ended", entry.id);
         }
-        for (int i = 0; i < STEPS_AFTER_THE_END; i++) {
+        for (int i = 0; i < STEPS_AFTER_DEADLINE; i++) {
             step();
         }
     }
@@ -82,9 +84,9 @@
             return;
         }
         int index = random.nextInt(network.size());
-        int fate = random.nextInt(10);
-        Runnable message = fate == 0 ? network.get(index) : network.remove(index);
-        if (fate != 1) {
+        int fault = random.nextInt(10);
+        Runnable message = fault == 0 ? network.get(index) : network.remove(index);
+        if (fault != 1) {
             message.run();
         }
     }
@@ -100,34 +102,34 @@
     CallKey callKey(RequestId id) {
         IdempotencyKey key =
                 new IdempotencyKey(new ServiceName("besuch"), new CallerName("heim"), "turn");
-        return new CallKey(id, setup.sharedKey() ? Optional.of(key) : Optional.empty());
+        return new CallKey(id, scenario.sharedKey() ? Optional.of(key) : Optional.empty());
     }
 
-    /** What must run at most once: the request, or the key that it shares with others. */
+    /** Returns what must run at most once: the request, or the key that it shares with others. */
     private Object executionKey(RequestId id) {
-        return setup.sharedKey() ? "shared key" : id;
+        return scenario.sharedKey() ? "shared key" : id;
     }
 
     void recordRun(RequestId id) {
         int count = runs.merge(executionKey(id), 1, Integer::sum);
-        check(count == 1 || !setup.nonIdempotent(), "runs at most once", id);
-        check(!toldNotRun.contains(id), "never runs after 'not run' was told", id);
+        check(count == 1 || !scenario.nonIdempotent(), "runs at most once", id);
+        check(!reportedNotRun.contains(id), "never runs after 'not run' was reported", id);
     }
 
     void recordNotRun(RequestId id) {
         recordOutcome(id);
-        toldNotRun.add(id);
-        check(runs.getOrDefault(id, 0) == 0, "told 'not run' only when it has not run", id);
+        reportedNotRun.add(id);
+        check(runs.getOrDefault(id, 0) == 0, "reported as 'not run' only when it has not run", id);
     }
 
     void recordAnswer(RequestId id, String answer) {
         recordOutcome(id);
-        check(answer.equals(answerOf(id)), "gets its own answer", id);
+        check(answer.equals(answerOf(id)), "receives its own answer", id);
         check(runs.containsKey(executionKey(id)), "answered only when it ran", id);
     }
 
     void recordOutcome(RequestId id) {
-        check(told.add(id), "gets one outcome", id);
+        check(reported.add(id), "receives one outcome", id);
     }
 
     String answerOf(RequestId id) {
@@ -136,15 +138,15 @@
 
     private static void check(boolean holds, String invariant, RequestId id) {
         if (!holds) {
-            throw new BrokenInvariant(invariant, id);
+            throw new InvariantViolation(invariant, id);
         }
     }
 
-    /** An invariant of the protocol does not hold. */
-    static final class BrokenInvariant extends RuntimeException {
+    /** An invariant of the protocol was violated. */
+    static final class InvariantViolation extends RuntimeException {
         private static final long serialVersionUID = 1;
 
-        BrokenInvariant(String invariant, RequestId id) {
+        InvariantViolation(String invariant, RequestId id) {
             super(invariant + ", request " + id);
         }
     }
--- a/core/src/test/java/org/damaskmoor/core/atmostonce/FakeEntry.java
+++ b/core/src/test/java/org/damaskmoor/core/atmostonce/FakeEntry.java
@@ -8,35 +8,39 @@
 import org.damaskmoor.core.id.TargetId;
 import org.damaskmoor.schema.mesh.RefusalReason;
 
-/** An entry node with one request, as a real node would drive it. Not thread-safe. */
+/** A simulated entry node with one request. Not thread-safe. */
 final class FakeEntry {
     private static final int MAXIMUM_ATTEMPTS = 4;
 
     final RequestId id;
     final EntryCall call;
-    private final AtMostOnceSimulation world;
+    private final AtMostOnceSimulation simulation;
     private final Map<AttemptId, String> answers = new HashMap<>();
     private AttemptId pendingSend;
     private AttemptId lastAttempt;
     private final boolean paused;
-    private boolean begun;
+    private boolean started;
 
-    FakeEntry(AtMostOnceSimulation world, RequestId id) {
-        this.world = world;
+    FakeEntry(AtMostOnceSimulation simulation, RequestId id) {
+        this.simulation = simulation;
         this.id = id;
-        this.paused = world.random.nextInt(3) == 0;
-        this.call = world.setup.calls().apply(EntryCall.of(id, world.setup.nonIdempotent()));
+        this.paused = simulation.random.nextInt(3) == 0;
+        this.call =
+                simulation
+                        .scenario
+                        .calls()
+                        .apply(EntryCall.of(id, simulation.scenario.nonIdempotent()));
     }
 
     void step() {
-        if (!begun) {
-            begun = true;
+        if (!started) {
+            started = true;
             perform(call.begin());
-        } else if (pendingSend != null && world.random.nextInt(3) > 0) {
+        } else if (pendingSend != null && simulation.random.nextInt(3) > 0) {
             send();
         } else {
-            deadlineWhenDue();
-            timeout();
+            checkDeadline();
+            fireRandomEvent();
         }
     }
 
@@ -47,37 +51,38 @@
             perform(call.noTarget(attempt, RefusalReason.RETRY_BUDGET_EMPTY));
             return;
         }
-        FakeTarget target = world.targets.get(world.random.nextInt(world.targets.size()));
+        FakeTarget target =
+                simulation.targets.get(simulation.random.nextInt(simulation.targets.size()));
         Incarnation incarnation = target.knownIncarnation();
         lastAttempt = attempt;
         if (!call.sent(attempt, new TargetId(target.node, incarnation))) {
             return;
         }
-        if (world.random.nextInt(10) == 0) {
+        if (simulation.random.nextInt(10) == 0) {
             perform(call.notSent(attempt, RefusalReason.TARGET_UNREACHABLE));
             return;
         }
-        world.send(() -> target.onCall(attempt, incarnation));
+        simulation.send(() -> target.onCall(attempt, incarnation));
     }
 
-    private void timeout() {
+    private void fireRandomEvent() {
         if (lastAttempt == null) {
             return;
         }
-        switch (world.random.nextInt(8)) {
+        switch (simulation.random.nextInt(8)) {
             case 0 -> perform(call.acceptanceTimeout(lastAttempt));
             case 1 -> perform(call.connectionLost(lastAttempt));
             case 2 -> perform(call.sealTimeout(lastAttempt));
             case 3 -> perform(call.hedge());
-            case 4 -> world.nowNanoseconds++;
+            case 4 -> simulation.nowNanoseconds++;
             default -> {}
         }
     }
 
-    /** A paused entry does not notice its deadline. */
-    private void deadlineWhenDue() {
-        boolean due = world.nowNanoseconds >= AtMostOnceSimulation.DEADLINE_NANOSECONDS;
-        if (due && !paused) {
+    /** Ends the request at its deadline, unless this node is paused. */
+    private void checkDeadline() {
+        boolean passed = simulation.nowNanoseconds >= AtMostOnceSimulation.DEADLINE_NANOSECONDS;
+        if (passed && !paused) {
             perform(call.deadline());
         }
     }
@@ -101,20 +106,20 @@
         if (action instanceof EntryAction.Send send) {
             pendingSend = send.attempt();
         } else if (action instanceof EntryAction.Seal seal) {
-            world.send(() -> target(seal.target()).onSeal(seal.attempt(), seal.target()));
+            simulation.send(() -> target(seal.target()).onSeal(seal.attempt(), seal.target()));
         } else if (action instanceof EntryAction.Cancel cancel) {
-            world.send(() -> target(cancel.target()).onCancel(cancel.attempt()));
+            simulation.send(() -> target(cancel.target()).onCancel(cancel.attempt()));
         } else if (action instanceof EntryAction.AnswerCaller answer) {
-            world.recordAnswer(id, answers.get(answer.attempt()));
+            simulation.recordAnswer(id, answers.get(answer.attempt()));
         } else if (action instanceof EntryAction.RefuseCaller) {
-            world.recordNotRun(id);
+            simulation.recordNotRun(id);
         } else if (action instanceof EntryAction.UnknownToCaller) {
-            world.recordOutcome(id);
+            simulation.recordOutcome(id);
         }
     }
 
     private FakeTarget target(TargetId target) {
-        return world.targets.stream()
+        return simulation.targets.stream()
                 .filter(known -> known.node.equals(target.node()))
                 .findFirst()
                 .orElseThrow();
--- a/core/src/test/java/org/damaskmoor/core/atmostonce/FakeTarget.java
+++ b/core/src/test/java/org/damaskmoor/core/atmostonce/FakeTarget.java
@@ -13,12 +13,12 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 import org.damaskmoor.schema.mesh.SealState;
 
-/** A target node with its upstream, as a real node would drive them. Not thread-safe. */
+/** A simulated target node with its upstream. Not thread-safe. */
 final class FakeTarget {
     private static final LedgerLimits LIMITS = new LedgerLimits(2, 64, 1);
 
     final NodeId node;
-    private final AtMostOnceSimulation world;
+    private final AtMostOnceSimulation simulation;
     private final List<RequestId> queue = new ArrayList<>();
     private final List<RequestId> upstream = new ArrayList<>();
     private final Map<RequestId, AttemptId> lastAttempts = new HashMap<>();
@@ -26,31 +26,31 @@
     private Incarnation incarnation = new Incarnation(1);
     private TargetLedger ledger;
 
-    FakeTarget(AtMostOnceSimulation world, NodeId node) {
-        this.world = world;
+    FakeTarget(AtMostOnceSimulation simulation, NodeId node) {
+        this.simulation = simulation;
         this.node = node;
         this.clockLagNanoseconds =
-                world.random.nextInt((int) AtMostOnceSimulation.SKEW_NANOSECONDS);
+                simulation.random.nextInt((int) AtMostOnceSimulation.SKEW_NANOSECONDS);
         this.ledger = freshLedger();
     }
 
     private TargetLedger freshLedger() {
-        return world.setup.ledgers().apply(TargetLedger.bounded(incarnation, LIMITS));
+        return simulation.scenario.ledgers().apply(TargetLedger.bounded(incarnation, LIMITS));
     }
 
-    /** The incarnation that an entry has heard of: the present one or a former one. */
+    /** Returns the incarnation that an entry node assumes: the current or the previous one. */
     Incarnation knownIncarnation() {
-        boolean stale = incarnation.value() > 1 && world.random.nextInt(4) == 0;
+        boolean stale = incarnation.value() > 1 && simulation.random.nextInt(4) == 0;
         return stale ? new Incarnation(incarnation.value() - 1) : incarnation;
     }
 
-    /** The time by this node's clock, which lags by less than the skew. */
+    /** Returns the time of this node's clock, which lags by less than the skew. */
     private long now() {
-        return world.nowNanoseconds - clockLagNanoseconds;
+        return simulation.nowNanoseconds - clockLagNanoseconds;
     }
 
     void step() {
-        switch (world.random.nextInt(8)) {
+        switch (simulation.random.nextInt(8)) {
             case 0, 1, 2 -> handOver();
             case 3 -> refuse();
             case 4, 5 -> endUpstreamCall();
@@ -60,7 +60,7 @@
     }
 
     private void restart() {
-        if (world.setup.restarts() && world.random.nextInt(3) == 0) {
+        if (simulation.scenario.restarts() && simulation.random.nextInt(3) == 0) {
             incarnation = new Incarnation(incarnation.value() + 1);
             ledger = freshLedger();
             queue.clear();
@@ -69,11 +69,11 @@
         }
     }
 
-    void onCall(AttemptId attempt, Incarnation meant) {
+    void onCall(AttemptId attempt, Incarnation targetIncarnation) {
         Acceptance acceptance =
                 ledger.accept(
-                        world.callKey(attempt.request()),
-                        meant,
+                        simulation.callKey(attempt.request()),
+                        targetIncarnation,
                         AtMostOnceSimulation.DEADLINE_NANOSECONDS,
                         AtMostOnceSimulation.DEADLINE_NANOSECONDS
                                 + AtMostOnceSimulation.SKEW_NANOSECONDS,
@@ -87,12 +87,12 @@
             case DUPLICATE, JOINED -> {
                 lastAttempts.put(attempt.request(), attempt);
                 toEntry(attempt, entry -> entry.call.accepted(attempt));
-                tell(attempt, acceptance.state(), acceptance.answer());
+                reply(attempt, acceptance.state(), acceptance.answer());
             }
-            case WRONG_INCARNATION -> refusal(attempt, RefusalReason.STALE_INCARNATION);
-            case SEALED_ALREADY -> refusal(attempt, RefusalReason.SEALED_AFTER_SILENCE);
-            case FULL -> refusal(attempt, RefusalReason.NODE_BUSY);
-            case DEADLINE_PASSED -> refusal(attempt, RefusalReason.DEADLINE_PASSED);
+            case WRONG_INCARNATION -> replyRefusal(attempt, RefusalReason.STALE_INCARNATION);
+            case SEALED_ALREADY -> replyRefusal(attempt, RefusalReason.SEALED_AFTER_SILENCE);
+            case FULL -> replyRefusal(attempt, RefusalReason.NODE_BUSY);
+            case DEADLINE_PASSED -> replyRefusal(attempt, RefusalReason.DEADLINE_PASSED);
             case TOO_LATE -> {}
             default -> throw new AssertionError(acceptance);
         }
@@ -108,10 +108,10 @@
                         now());
         toEntry(attempt, entry -> entry.call.sealResult(attempt, state));
         if (state == SealState.SEALED) {
-            tellOutcome(attempt.request());
+            replyOutcome(attempt.request());
         } else if (state != SealState.OTHER_INCARNATION) {
             lastAttempts.put(attempt.request(), attempt);
-            tellOutcome(attempt.request());
+            replyOutcome(attempt.request());
         }
     }
 
@@ -123,28 +123,28 @@
         if (queue.isEmpty()) {
             return;
         }
-        RequestId id = queue.remove(world.random.nextInt(queue.size()));
+        RequestId id = queue.remove(simulation.random.nextInt(queue.size()));
         switch (ledger.handOver(id, now())) {
-            case RUN -> giveToUpstream(id);
-            default -> tellOutcome(id);
+            case RUN -> runUpstream(id);
+            default -> replyOutcome(id);
         }
     }
 
-    private void giveToUpstream(RequestId id) {
-        if (world.random.nextInt(4) == 0) {
+    private void runUpstream(RequestId id) {
+        if (simulation.random.nextInt(4) == 0) {
             ledger.returned(id);
             queue.add(id);
             return;
         }
-        world.recordRun(id);
+        simulation.recordRun(id);
         upstream.add(id);
     }
 
     private void refuse() {
         if (!queue.isEmpty()) {
-            RequestId id = queue.remove(world.random.nextInt(queue.size()));
+            RequestId id = queue.remove(simulation.random.nextInt(queue.size()));
             ledger.refuse(id);
-            tellOutcome(id);
+            replyOutcome(id);
         }
     }
 
@@ -152,53 +152,53 @@
         if (upstream.isEmpty()) {
             return;
         }
-        RequestId id = upstream.remove(world.random.nextInt(upstream.size()));
-        if (world.random.nextInt(3) == 0) {
+        RequestId id = upstream.remove(simulation.random.nextInt(upstream.size()));
+        if (simulation.random.nextInt(3) == 0) {
             ledger.failed(id);
         } else {
-            ledger.answered(id, ByteString.copyFromUtf8(world.answerOf(id)));
+            ledger.answered(id, ByteString.copyFromUtf8(simulation.answerOf(id)));
         }
-        tellOutcome(id);
+        replyOutcome(id);
     }
 
-    private void tellOutcome(RequestId run) {
+    private void replyOutcome(RequestId run) {
         for (RequestId id : ledger.requestsSharingRun(run)) {
             AttemptId attempt = lastAttempts.get(id);
             if (attempt != null) {
-                tell(attempt, ledger.state(id).orElseThrow(), ledger.answer(id));
+                reply(attempt, ledger.state(id).orElseThrow(), ledger.answer(id));
             }
         }
     }
 
-    private void tell(AttemptId attempt, CallState state, Optional<ByteString> answer) {
+    private void reply(AttemptId attempt, CallState state, Optional<ByteString> answer) {
         switch (state) {
             case QUEUED, HANDED_OVER -> {}
-            case SEALED, REFUSED -> refusal(attempt, RefusalReason.OVERLOADED);
+            case SEALED, REFUSED -> replyRefusal(attempt, RefusalReason.OVERLOADED);
             case FAILED -> toEntry(attempt, entry -> entry.call.failed(attempt));
-            case ANSWERED -> tellAnswer(attempt, answer);
+            case ANSWERED -> replyAnswer(attempt, answer);
             default -> throw new AssertionError(state);
         }
     }
 
-    private void tellAnswer(AttemptId attempt, Optional<ByteString> answer) {
+    private void replyAnswer(AttemptId attempt, Optional<ByteString> answer) {
         if (answer.isEmpty()) {
             toEntry(attempt, entry -> entry.call.failed(attempt));
             return;
         }
         String text = answer.get().toStringUtf8();
-        world.send(() -> world.entry(attempt.request()).onAnswer(attempt, text));
+        simulation.send(() -> simulation.entry(attempt.request()).onAnswer(attempt, text));
     }
 
-    private void refusal(AttemptId attempt, RefusalReason reason) {
+    private void replyRefusal(AttemptId attempt, RefusalReason reason) {
         toEntry(attempt, entry -> entry.call.refused(attempt, reason));
     }
 
     private void toEntry(AttemptId attempt, EntryMessage message) {
-        FakeEntry entry = world.entry(attempt.request());
-        world.send(() -> entry.perform(message.deliver(entry)));
+        FakeEntry entry = simulation.entry(attempt.request());
+        simulation.send(() -> entry.perform(message.deliver(entry)));
     }
 
-    /** A message that drives an entry. */
+    /** A message to an entry node. */
     private interface EntryMessage {
         List<EntryAction> deliver(FakeEntry entry);
     }
--- a/core/src/test/java/org/damaskmoor/core/atmostonce/GuardMutationTest.java
+++ b/core/src/test/java/org/damaskmoor/core/atmostonce/GuardMutationTest.java
@@ -7,27 +7,29 @@
 import org.junit.jupiter.api.TestFactory;
 
 class GuardMutationTest {
-    private static final int WORLDS = 5_000;
+    private static final int SEEDS = 5_000;
 
     @TestFactory
     Stream<DynamicTest> should_break_an_invariant_when_a_guard_is_missing() {
         return GuardMutations.all().entrySet().stream()
                 .map(
-                        guard ->
+                        mutation ->
                                 DynamicTest.dynamicTest(
-                                        guard.getKey(),
-                                        () -> assertCaught(guard.getKey(), guard.getValue())));
+                                        mutation.getKey(),
+                                        () ->
+                                                assertDetected(
+                                                        mutation.getKey(), mutation.getValue())));
     }
 
-    private static void assertCaught(String fault, AtMostOnceScenario setup) {
-        assertWithMessage("%s is caught", fault).that(isCaught(setup)).isTrue();
+    private static void assertDetected(String mutation, AtMostOnceScenario scenario) {
+        assertWithMessage("%s is detected", mutation).that(isDetected(scenario)).isTrue();
     }
 
-    private static boolean isCaught(AtMostOnceScenario setup) {
-        for (long seed = 0; seed < WORLDS; seed++) {
+    private static boolean isDetected(AtMostOnceScenario scenario) {
+        for (long seed = 0; seed < SEEDS; seed++) {
             try {
-                new AtMostOnceSimulation(seed, setup).run();
-            } catch (AtMostOnceSimulation.BrokenInvariant caught) {
+                new AtMostOnceSimulation(seed, scenario).run();
+            } catch (AtMostOnceSimulation.InvariantViolation detected) {
                 return true;
             }
         }
--- a/core/src/test/java/org/damaskmoor/core/atmostonce/GuardMutations.java
+++ b/core/src/test/java/org/damaskmoor/core/atmostonce/GuardMutations.java
@@ -12,60 +12,72 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 import org.damaskmoor.schema.mesh.SealState;
 
-/** The protocol with one guard taken away each; the invariants must catch every one of them. */
+/** Variants of the protocol, each without one guard; the simulation must detect every one. */
 final class GuardMutations {
     private GuardMutations() {}
 
-    /** Returns the broken protocols by the fault that each has. */
+    /** Returns the scenarios by the fault that each contains. */
     static Map<String, AtMostOnceScenario> all() {
         Map<String, AtMostOnceScenario> all = new LinkedHashMap<>();
         all.put(
                 "runs a duplicate",
-                ledger("accept", GuardMutations::acceptAgain, "handOver", always()));
-        all.put("seals after hand over", ledger("seal", GuardMutations::alwaysSealed));
+                ledger("accept", GuardMutations::acceptAgain, "handOver", alwaysRun()));
+        all.put(
+                "confirms a seal after the hand-over",
+                ledger("seal", GuardMutations::confirmSealAfterHandOver));
         all.put("leaves no tombstone", ledger("seal", GuardMutations::sealKnownOnly));
-        all.put("hands over what was sealed", ledger("handOver", always()));
+        all.put("hands over a sealed request", ledger("handOver", alwaysRun()));
         all.put(
-                "drops tombstones early",
-                ledger("expire", (kept, name, values) -> expireAll(kept)));
+                "removes tombstones early",
+                ledger("expire", (delegate, name, arguments) -> expireAll(delegate)));
         all.put(
-                "takes calls of a former incarnation",
+                "accepts calls for a previous incarnation",
                 ledger("accept", GuardMutations::acceptAnyIncarnation));
         all.put(
-                "vouches for a former incarnation",
+                "confirms a seal for a previous incarnation",
                 ledger("seal", GuardMutations::sealAnyIncarnation));
-        all.put("vouches for what it dropped", ledger("seal", GuardMutations::sealWithoutTime));
+        all.put(
+                "confirms a seal after the keep-until time",
+                ledger("seal", GuardMutations::sealAtAnyTime));
         all.put("runs a resend", resends("accept", GuardMutations::acceptWithoutKey));
         all.put(
-                "takes a failure for not run",
+                "treats a failure as not run",
                 resends("failed", GuardMutations::refuseAfterFailure));
-        all.put("retries without seal", call("acceptanceTimeout", GuardMutations::asNotSent));
-        all.put("trusts a stale refusal", call("refused", GuardMutations::asNotSent));
-        all.put("trusts silence", call("sealTimeout", GuardMutations::asNotSent));
-        all.put("refuses at the deadline", call("deadline", GuardMutations::refuseUnlessFinished));
         all.put(
-                "writes after the end",
+                "retries without a seal",
+                call("acceptanceTimeout", GuardMutations::treatAsNotSent));
+        all.put(
+                "treats a stale refusal as not run",
+                call("refused", GuardMutations::treatAsNotSent));
+        all.put(
+                "treats a seal timeout as not run",
+                call("sealTimeout", GuardMutations::treatAsNotSent));
+        all.put(
+                "always reports not run at the deadline",
+                call("deadline", GuardMutations::refuseUnlessFinished));
+        all.put(
+                "writes a frame after the request has ended",
                 call(
                         "sent",
-                        (kept, name, values) -> {
-                            kept.call(name, values);
+                        (delegate, name, arguments) -> {
+                            delegate.call(name, arguments);
                             return true;
                         }));
-        all.put("retries a failed call", call("failed", GuardMutations::asNotSent));
+        all.put("retries a failed call", call("failed", GuardMutations::treatAsNotSent));
         return all;
     }
 
     /** Replaces a method of a state machine. */
     private interface Replacement {
-        Object call(Kept kept, String name, Object[] values);
+        Object call(Delegate delegate, String name, Object[] arguments);
     }
 
-    /** The correct state machine beneath. */
-    private record Kept(Object machine) {
-        Object call(String name, Object... values) {
+    /** The unmodified state machine. */
+    private record Delegate(Object machine) {
+        Object call(String name, Object... arguments) {
             try {
                 Method method = method(machine, name);
-                return method.invoke(machine, values);
+                return method.invoke(machine, arguments);
             } catch (IllegalAccessException | InvocationTargetException failure) {
                 throw new LinkageError(name, failure);
             }
@@ -85,50 +97,53 @@
 
     private static AtMostOnceScenario ledger(String method, Replacement replacement) {
         return AtMostOnceScenario.nonIdempotentRequests()
-                .withLedgers(broken(TargetLedger.class, Map.of(method, replacement)));
+                .withLedgers(mutating(TargetLedger.class, Map.of(method, replacement)));
     }
 
     private static AtMostOnceScenario ledger(
-            String first, Replacement firstBroken, String second, Replacement secondBroken) {
+            String first,
+            Replacement firstReplacement,
+            String second,
+            Replacement secondReplacement) {
         return AtMostOnceScenario.nonIdempotentRequests()
                 .withLedgers(
-                        broken(
+                        mutating(
                                 TargetLedger.class,
-                                Map.of(first, firstBroken, second, secondBroken)));
+                                Map.of(first, firstReplacement, second, secondReplacement)));
     }
 
     private static AtMostOnceScenario resends(String method, Replacement replacement) {
         return AtMostOnceScenario.resends()
-                .withLedgers(broken(TargetLedger.class, Map.of(method, replacement)));
+                .withLedgers(mutating(TargetLedger.class, Map.of(method, replacement)));
     }
 
     private static AtMostOnceScenario call(String method, Replacement replacement) {
         return AtMostOnceScenario.nonIdempotentRequests()
-                .withCalls(broken(EntryCall.class, Map.of(method, replacement)));
+                .withCalls(mutating(EntryCall.class, Map.of(method, replacement)));
     }
 
-    private static <T> UnaryOperator<T> broken(Class<T> type, Map<String, Replacement> methods) {
+    private static <T> UnaryOperator<T> mutating(Class<T> type, Map<String, Replacement> methods) {
         return machine -> {
-            Kept kept = new Kept(machine);
+            Delegate delegate = new Delegate(machine);
             return type.cast(
                     Proxy.newProxyInstance(
                             type.getClassLoader(),
                             new Class<?>[] {type},
-                            (proxy, method, values) ->
-                                    methods.getOrDefault(method.getName(), Kept::call)
-                                            .call(kept, method.getName(), values)));
+                            (proxy, method, arguments) ->
+                                    methods.getOrDefault(method.getName(), Delegate::call)
+                                            .call(delegate, method.getName(), arguments)));
         };
     }
 
-    private static Replacement always() {
-        return (kept, name, values) -> {
-            kept.call(name, values);
+    private static Replacement alwaysRun() {
+        return (delegate, name, arguments) -> {
+            delegate.call(name, arguments);
             return HandOverResult.RUN;
         };
     }
 
-    private static Object acceptAgain(Kept kept, String name, Object[] values) {
-        Acceptance acceptance = (Acceptance) kept.call(name, values);
+    private static Object acceptAgain(Delegate delegate, String name, Object[] arguments) {
+        Acceptance acceptance = (Acceptance) delegate.call(name, arguments);
         if (acceptance.result() != AcceptanceResult.DUPLICATE) {
             return acceptance;
         }
@@ -136,57 +151,58 @@
                 AcceptanceResult.ACCEPTED, acceptance.run(), CallState.QUEUED, Optional.empty());
     }
 
-    private static Object alwaysSealed(Kept kept, String name, Object[] values) {
-        SealState state = (SealState) kept.call(name, values);
+    private static Object confirmSealAfterHandOver(
+            Delegate delegate, String name, Object[] arguments) {
+        SealState state = (SealState) delegate.call(name, arguments);
         return state == SealState.HANDED_OVER ? SealState.SEALED : state;
     }
 
-    private static Object sealKnownOnly(Kept kept, String name, Object[] values) {
-        Optional<?> known = (Optional<?>) kept.call("state", values[0]);
-        return known.isPresent() ? kept.call(name, values) : SealState.SEALED;
+    private static Object sealKnownOnly(Delegate delegate, String name, Object[] arguments) {
+        Optional<?> known = (Optional<?>) delegate.call("state", arguments[0]);
+        return known.isPresent() ? delegate.call(name, arguments) : SealState.SEALED;
     }
 
-    private static Object expireAll(Kept kept) {
-        return kept.call("expire", AtMostOnceSimulation.DEADLINE_NANOSECONDS * 1_000);
+    private static Object expireAll(Delegate delegate) {
+        return delegate.call("expire", AtMostOnceSimulation.DEADLINE_NANOSECONDS * 1_000);
     }
 
-    private static Object acceptAnyIncarnation(Kept kept, String name, Object[] values) {
+    private static Object acceptAnyIncarnation(Delegate delegate, String name, Object[] arguments) {
         for (int incarnation = 1; ; incarnation++) {
-            values[1] = new Incarnation(incarnation);
-            Acceptance acceptance = (Acceptance) kept.call(name, values);
+            arguments[1] = new Incarnation(incarnation);
+            Acceptance acceptance = (Acceptance) delegate.call(name, arguments);
             if (acceptance.result() != AcceptanceResult.WRONG_INCARNATION) {
                 return acceptance;
             }
         }
     }
 
-    private static Object sealAnyIncarnation(Kept kept, String name, Object[] values) {
-        SealState state = (SealState) kept.call(name, values);
+    private static Object sealAnyIncarnation(Delegate delegate, String name, Object[] arguments) {
+        SealState state = (SealState) delegate.call(name, arguments);
         return state == SealState.OTHER_INCARNATION ? SealState.SEALED : state;
     }
 
-    private static Object sealWithoutTime(Kept kept, String name, Object[] values) {
-        values[3] = Long.MIN_VALUE;
-        return kept.call(name, values);
+    private static Object sealAtAnyTime(Delegate delegate, String name, Object[] arguments) {
+        arguments[3] = Long.MIN_VALUE;
+        return delegate.call(name, arguments);
     }
 
-    private static Object acceptWithoutKey(Kept kept, String name, Object[] values) {
-        values[0] = CallKey.of(((CallKey) values[0]).id());
-        return kept.call(name, values);
+    private static Object acceptWithoutKey(Delegate delegate, String name, Object[] arguments) {
+        arguments[0] = CallKey.of(((CallKey) arguments[0]).id());
+        return delegate.call(name, arguments);
     }
 
-    private static Object refuseAfterFailure(Kept kept, String name, Object[] values) {
-        kept.call("returned", values);
-        return kept.call("refuse", values);
+    private static Object refuseAfterFailure(Delegate delegate, String name, Object[] arguments) {
+        delegate.call("returned", arguments);
+        return delegate.call("refuse", arguments);
     }
 
-    private static Object asNotSent(Kept kept, String name, Object[] values) {
-        return kept.call("notSent", values[0], RefusalReason.NODE_BUSY);
+    private static Object treatAsNotSent(Delegate delegate, String name, Object[] arguments) {
+        return delegate.call("notSent", arguments[0], RefusalReason.NODE_BUSY);
     }
 
-    private static Object refuseUnlessFinished(Kept kept, String name, Object[] values) {
-        boolean finished = (boolean) kept.call("isFinished");
-        kept.call(name, values);
+    private static Object refuseUnlessFinished(Delegate delegate, String name, Object[] arguments) {
+        boolean finished = (boolean) delegate.call("isFinished");
+        delegate.call(name, arguments);
         return finished
                 ? List.of()
                 : List.of(new EntryAction.RefuseCaller(RefusalReason.DEADLINE_PASSED));
--- a/core/src/test/java/org/damaskmoor/core/atmostonce/internal/AttemptTrackingEntryCallTest.java
+++ b/core/src/test/java/org/damaskmoor/core/atmostonce/internal/AttemptTrackingEntryCallTest.java
@@ -23,21 +23,21 @@
     private static final TargetId B = new TargetId(new NodeId("b"), new Incarnation(1));
 
     @Test
-    void should_try_elsewhere_when_the_target_sealed() {
+    void should_send_another_attempt_when_the_target_sealed_the_first() {
         // given
         EntryCall call = sent(true);
 
         // when
-        List<EntryAction> silence = call.acceptanceTimeout(FIRST);
-        List<EntryAction> sealed = call.sealResult(FIRST, SealState.SEALED);
+        List<EntryAction> afterTimeout = call.acceptanceTimeout(FIRST);
+        List<EntryAction> afterSeal = call.sealResult(FIRST, SealState.SEALED);
 
         // then
-        assertThat(silence).containsExactly(new EntryAction.Seal(FIRST, A));
-        assertThat(sealed).containsExactly(new EntryAction.Send(SECOND));
+        assertThat(afterTimeout).containsExactly(new EntryAction.Seal(FIRST, A));
+        assertThat(afterSeal).containsExactly(new EntryAction.Send(SECOND));
     }
 
     @Test
-    void should_tell_unknown_when_the_target_restarted() {
+    void should_report_unknown_when_the_target_restarted() {
         // given
         EntryCall call = sent(true);
         call.connectionLost(FIRST);
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void should_tell_not_run_when_the_deadline_passes_before_anything_may_run() {
+    void should_report_not_run_when_the_deadline_passes_before_any_attempt_may_run() {
         // given
         EntryCall call = sent(true);
         call.notSent(FIRST, RefusalReason.TARGET_UNREACHABLE);
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void should_not_tell_not_run_when_a_silent_attempt_may_run() {
+    void should_report_unknown_when_an_unanswered_attempt_may_run() {
         // given
         EntryCall call = sent(false);
         call.acceptanceTimeout(FIRST);
--- a/core/src/test/java/org/damaskmoor/core/atmostonce/internal/BoundedTargetLedgerDifferentialTest.java
+++ b/core/src/test/java/org/damaskmoor/core/atmostonce/internal/BoundedTargetLedgerDifferentialTest.java
@@ -24,12 +24,12 @@
     private static final ByteString ANSWER = ByteString.copyFromUtf8("answer");
     private static final Incarnation OWN = new Incarnation(1);
 
-    private final ReferenceLedger naive = new ReferenceLedger();
+    private final ReferenceLedger reference = new ReferenceLedger();
     private final TargetLedger ledger =
             TargetLedger.bounded(OWN, new LedgerLimits(1_000, 1_000_000, 10));
 
     @Property(tries = 3_000, seed = "20261207")
-    void should_decide_as_the_naive_ledger_does_when_it_has_room(@ForAll long seed) {
+    void should_decide_as_the_reference_ledger_does_when_it_has_room(@ForAll long seed) {
         Random random = new Random(seed);
         BoundedTargetLedgerDifferentialTest fresh = new BoundedTargetLedgerDifferentialTest();
         long now = 0;
@@ -49,23 +49,26 @@
             case 0, 1 -> {
                 CallKey key = key(sequence);
                 assertThat(ledger.accept(key, OWN, deadline, keepUntil, now).result())
-                        .isEqualTo(naive.accept(key, deadline, keepUntil, now));
+                        .isEqualTo(reference.accept(key, deadline, keepUntil, now));
             }
-            case 2 -> assertThat(ledger.handOver(id, now)).isEqualTo(naive.handOver(id, now));
+            case 2 -> assertThat(ledger.handOver(id, now)).isEqualTo(reference.handOver(id, now));
             case 3 ->
                     assertThat(ledger.returned(id))
-                            .isEqualTo(naive.move(id, CallState.HANDED_OVER, CallState.QUEUED));
+                            .isEqualTo(
+                                    reference.transition(
+                                            id, CallState.HANDED_OVER, CallState.QUEUED));
             case 4 ->
                     assertThat(ledger.refuse(id))
-                            .isEqualTo(naive.move(id, CallState.QUEUED, CallState.REFUSED));
+                            .isEqualTo(
+                                    reference.transition(id, CallState.QUEUED, CallState.REFUSED));
             case 5 -> endRun(random.nextBoolean(), id);
             case 6 ->
                     assertThat(ledger.seal(id, OWN, keepUntil, now))
-                            .isEqualTo(naive.seal(id, keepUntil, now));
-            case 7 -> assertThat(ledger.cancel(id)).isEqualTo(naive.cancel(id));
+                            .isEqualTo(reference.seal(id, keepUntil, now));
+            case 7 -> assertThat(ledger.cancel(id)).isEqualTo(reference.cancel(id));
             default -> {
                 ledger.expire(now);
-                naive.expire(now);
+                reference.expire(now);
             }
         }
     }
@@ -73,15 +76,15 @@
     private void endRun(boolean answered, RequestId id) {
         boolean ended = answered ? ledger.answered(id, ANSWER) : ledger.failed(id);
         CallState end = answered ? CallState.ANSWERED : CallState.FAILED;
-        assertThat(ended).isEqualTo(naive.move(id, CallState.HANDED_OVER, end));
+        assertThat(ended).isEqualTo(reference.transition(id, CallState.HANDED_OVER, end));
     }
 
     private void compareStates() {
-        assertThat(ledger.size()).isEqualTo(naive.size());
+        assertThat(ledger.size()).isEqualTo(reference.size());
         for (int sequence = 0; sequence < REQUESTS; sequence++) {
             RequestId id = id(sequence);
-            assertThat(ledger.state(id)).isEqualTo(naive.state(id));
-            assertThat(ledger.answer(id)).isEqualTo(naive.answer(id, ANSWER));
+            assertThat(ledger.state(id)).isEqualTo(reference.state(id));
+            assertThat(ledger.answer(id)).isEqualTo(reference.answer(id, ANSWER));
         }
     }
 
--- a/core/src/test/java/org/damaskmoor/core/atmostonce/internal/BoundedTargetLedgerTest.java
+++ b/core/src/test/java/org/damaskmoor/core/atmostonce/internal/BoundedTargetLedgerTest.java
@@ -29,7 +29,7 @@
     private final TargetLedger ledger = TargetLedger.bounded(OWN, new LedgerLimits(2, 15, 1));
 
     @Test
-    void should_refuse_a_later_copy_too_when_the_ledger_was_full() {
+    void should_refuse_a_later_copy_when_the_ledger_was_full_for_the_first() {
         // given
         accept(id("entry", 1), Optional.empty());
         accept(id("entry", 2), Optional.empty());
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void should_refuse_every_id_when_too_many_entries_are_fenced() {
+    void should_refuse_every_id_when_too_many_entry_incarnations_are_fenced() {
         // given
         accept(id("entry", 1), Optional.empty());
         accept(id("entry", 2), Optional.empty());
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void should_tell_unknown_when_a_resend_finds_a_failed_run_and_no_room() {
+    void should_report_unknown_when_a_resend_joins_a_failed_run_in_a_full_ledger() {
         // given
         accept(id("entry", 1), Optional.of(KEY));
         ledger.handOver(id("entry", 1), 0);
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void should_run_a_resend_when_the_first_was_sealed() {
+    void should_run_a_resend_when_the_first_request_was_sealed() {
         // given
         accept(id("entry", 1), Optional.of(KEY));
         ledger.seal(id("entry", 1), OWN, 100, 0);
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void should_go_on_when_the_first_caller_is_gone_and_its_resend_waits() {
+    void should_continue_the_run_when_the_first_caller_cancels_and_a_resend_waits() {
         // given
         accept(id("entry", 1), Optional.of(KEY));
         accept(id("entry", 2), Optional.of(KEY));
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void should_forget_the_oldest_answer_but_not_the_run_when_bytes_run_out() {
+    void should_evict_the_oldest_answer_but_keep_its_entry_when_the_byte_limit_is_reached() {
         // given
         run(id("entry", 1));
         run(id("entry", 2));
@@ -141,7 +141,7 @@
     }
 
     @Test
-    void should_keep_a_running_call_when_its_time_has_passed() {
+    void should_keep_a_running_call_when_its_keep_until_time_has_passed() {
         // given
         accept(id("entry", 1), Optional.empty());
         ledger.handOver(id("entry", 1), 0);
--- a/core/src/test/java/org/damaskmoor/core/atmostonce/internal/ReferenceLedger.java
+++ b/core/src/test/java/org/damaskmoor/core/atmostonce/internal/ReferenceLedger.java
@@ -13,11 +13,14 @@
 import org.damaskmoor.core.id.RequestId;
 import org.damaskmoor.schema.mesh.SealState;
 
-/** The same decisions in unbounded maps that are searched whole, without queues or fences. */
+/**
+ * Reference implementation of the ledger: unbounded maps with linear search, without expiry queue
+ * or fences.
+ */
 final class ReferenceLedger {
-    private final Map<RequestId, Entry> records = new HashMap<>();
+    private final Map<RequestId, Entry> entries = new HashMap<>();
 
-    /** One request; {@code joined} names the run that a resend waits for. */
+    /** One request; {@code joined} is the run that a resend joined. */
     private static final class Entry {
         Optional<IdempotencyKey> key = Optional.empty();
         Optional<RequestId> joined = Optional.empty();
@@ -27,10 +30,10 @@
     }
 
     AcceptanceResult accept(CallKey key, long deadline, long keepUntil, long now) {
-        Entry known = records.get(key.id());
+        Entry known = entries.get(key.id());
         if (known != null) {
             keep(key.id(), keepUntil);
-            return seen(key.id(), known);
+            return duplicateResult(key.id(), known);
         }
         if (keepUntil <= now) {
             return AcceptanceResult.TOO_LATE;
@@ -43,14 +46,14 @@
         added.key = key.idempotencyKey();
         added.joined = run;
         added.deadline = deadline;
-        records.put(key.id(), added);
+        entries.put(key.id(), added);
         keep(key.id(), keepUntil);
         run.ifPresent(
-                id -> records.get(id).deadline = Math.max(deadline, records.get(id).deadline));
+                id -> entries.get(id).deadline = Math.max(deadline, entries.get(id).deadline));
         return run.isPresent() ? AcceptanceResult.JOINED : AcceptanceResult.ACCEPTED;
     }
 
-    private AcceptanceResult seen(RequestId id, Entry known) {
+    private AcceptanceResult duplicateResult(RequestId id, Entry known) {
         if (known.joined.isPresent()) {
             return AcceptanceResult.JOINED;
         }
@@ -62,7 +65,7 @@
         if (key.idempotencyKey().isEmpty()) {
             return Optional.empty();
         }
-        return records.entrySet().stream()
+        return entries.entrySet().stream()
                 .filter(entry -> entry.getValue().key.equals(key.idempotencyKey()))
                 .filter(entry -> entry.getValue().joined.isEmpty())
                 .filter(entry -> !entry.getValue().state.isNotRun())
@@ -71,43 +74,43 @@
     }
 
     private void keep(RequestId id, long keepUntil) {
-        Entry record = records.get(id);
-        record.keepUntil = Math.max(record.keepUntil, keepUntil);
-        record.joined.ifPresent(run -> keep(run, keepUntil));
+        Entry existing = entries.get(id);
+        existing.keepUntil = Math.max(existing.keepUntil, keepUntil);
+        existing.joined.ifPresent(run -> keep(run, keepUntil));
     }
 
     HandOverResult handOver(RequestId id, long now) {
         if (!isRun(id, CallState.QUEUED)) {
             return HandOverResult.NOT_QUEUED;
         }
-        Entry record = records.get(id);
-        boolean late = record.deadline <= now;
-        record.state = late ? CallState.REFUSED : CallState.HANDED_OVER;
+        Entry existing = entries.get(id);
+        boolean late = existing.deadline <= now;
+        existing.state = late ? CallState.REFUSED : CallState.HANDED_OVER;
         return late ? HandOverResult.DEADLINE_PASSED : HandOverResult.RUN;
     }
 
-    boolean move(RequestId id, CallState from, CallState to) {
-        boolean moves = isRun(id, from);
-        if (moves) {
-            records.get(id).state = to;
+    boolean transition(RequestId id, CallState from, CallState to) {
+        boolean matches = isRun(id, from);
+        if (matches) {
+            entries.get(id).state = to;
         }
-        return moves;
+        return matches;
     }
 
     private boolean isRun(RequestId id, CallState state) {
-        Entry record = records.get(id);
-        return record != null && record.joined.isEmpty() && record.state == state;
+        Entry existing = entries.get(id);
+        return existing != null && existing.joined.isEmpty() && existing.state == state;
     }
 
     SealState seal(RequestId id, long keepUntil, long now) {
-        if (!records.containsKey(id)) {
+        if (!entries.containsKey(id)) {
             if (keepUntil <= now) {
                 return SealState.OTHER_INCARNATION;
             }
-            records.put(id, new Entry());
+            entries.put(id, new Entry());
         }
         keep(id, keepUntil);
-        move(id, CallState.QUEUED, CallState.SEALED);
+        transition(id, CallState.QUEUED, CallState.SEALED);
         return switch (state(id).orElseThrow()) {
             case SEALED, REFUSED -> SealState.SEALED;
             case ANSWERED -> SealState.ANSWERED;
@@ -121,18 +124,19 @@
             return CancelResult.NOTHING_TO_DO;
         }
         Optional<RequestId> own = Optional.of(id);
-        boolean shared = records.values().stream().anyMatch(record -> record.joined.equals(own));
-        if (shared || records.get(id).joined.isPresent()) {
+        boolean shared =
+                entries.values().stream().anyMatch(existing -> existing.joined.equals(own));
+        if (shared || entries.get(id).joined.isPresent()) {
             return CancelResult.STILL_WANTED;
         }
-        boolean dropped = move(id, CallState.QUEUED, CallState.REFUSED);
+        boolean dropped = transition(id, CallState.QUEUED, CallState.REFUSED);
         return dropped ? CancelResult.DROPPED : CancelResult.RUNNING;
     }
 
     void expire(long now) {
         Map<RequestId, Optional<CallState>> states = new HashMap<>();
-        records.keySet().forEach(id -> states.put(id, state(id)));
-        records.entrySet()
+        entries.keySet().forEach(id -> states.put(id, state(id)));
+        entries.entrySet()
                 .removeIf(
                         entry ->
                                 entry.getValue().keepUntil <= now
@@ -140,14 +144,14 @@
     }
 
     Optional<CallState> state(RequestId id) {
-        Entry record = records.get(id);
-        if (record == null) {
+        Entry existing = entries.get(id);
+        if (existing == null) {
             return Optional.empty();
         }
-        if (record.joined.isEmpty()) {
-            return Optional.of(record.state);
+        if (existing.joined.isEmpty()) {
+            return Optional.of(existing.state);
         }
-        CallState run = records.get(record.joined.get()).state;
+        CallState run = entries.get(existing.joined.get()).state;
         return Optional.of(run == CallState.SEALED ? CallState.REFUSED : run);
     }
 
@@ -156,6 +160,6 @@
     }
 
     int size() {
-        return records.size();
+        return entries.size();
     }
 }
