--- a/core/src/main/java/org/damaskmoor/core/accounting/CompletedRequest.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/CompletedRequest.java
@@ -4,14 +4,14 @@
 import org.damaskmoor.core.id.ServiceName;
 
 /**
- * One request that ended, as the service level counts it. Immutable and thread-safe.
+ * One completed request, as counted for the service level. Immutable and thread-safe.
  *
- * @param service the service that was asked for
- * @param kind the kind that the service's rule names
+ * @param service the requested service
+ * @param kind the kind that the matching rule of the service names
  * @param epochMinute when it ended, in minutes since the epoch
  * @param weight the request's weight
  * @param end how it ended
- * @param latencyMilliseconds from its arrival to the end
+ * @param latencyMilliseconds time from its arrival to its completion
  */
 public record CompletedRequest(
         ServiceName service,
--- a/core/src/main/java/org/damaskmoor/core/accounting/LatencyBuckets.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/LatencyBuckets.java
@@ -2,7 +2,7 @@
 
 /**
  * Bounds of the latency histogram in request counts: bucket {@code i} holds requests of at most
- * {@code upperMilliseconds(i)}, and the last one those above every bound. Stateless and
+ * {@code upperMilliseconds(i)}, and the last bucket those above every bound. Stateless and
  * thread-safe.
  */
 public final class LatencyBuckets {
@@ -15,7 +15,7 @@
 
     private LatencyBuckets() {}
 
-    /** The bucket that a latency falls in. */
+    /** Returns the index of the bucket for a latency. */
     public static int indexOf(long latencyMilliseconds) {
         int index = 0;
         while (index < UPPER_MILLISECONDS.length
@@ -25,7 +25,7 @@
         return index;
     }
 
-    /** Upper bound of a bucket, inclusive; {@code Long.MAX_VALUE} for the last. */
+    /** Returns the inclusive upper bound of a bucket; {@code Long.MAX_VALUE} for the last. */
     public static long upperMilliseconds(int index) {
         return index < UPPER_MILLISECONDS.length ? UPPER_MILLISECONDS[index] : Long.MAX_VALUE;
     }
--- a/core/src/main/java/org/damaskmoor/core/accounting/NamedObject.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/NamedObject.java
@@ -4,7 +4,8 @@
 import java.util.Objects;
 
 /**
- * An object to be written once under an idempotent name. Immutable and thread-safe.
+ * An object to be written once; writing it again under the same name has no further effect.
+ * Immutable and thread-safe.
  *
  * @param name the object's name
  * @param content its bytes
--- a/core/src/main/java/org/damaskmoor/core/accounting/ObjectWriteQueue.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/ObjectWriteQueue.java
@@ -6,14 +6,15 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Writes objects under idempotent names one after another, and tries each until it stands.
+ * Queue of objects with idempotent names, written one at a time and retried until each exists in
+ * the store.
  *
- * <p>Invariants: one write is in flight at most; an object leaves the queue only when it was
- * written or stood already; the pause after failures doubles up to a bound. Whoever adds bounds the
- * length. Not thread-safe.
+ * <p>Invariants: one write is in flight at most; an object leaves the queue only after it was
+ * written or already existed; the pause after failures doubles up to a bound. Callers of {@link
+ * #add} must bound the length. Not thread-safe.
  */
 public final class ObjectWriteQueue implements ObjectWriteSource {
-    private static final int LONGEST_PAUSE_FACTOR = 64;
+    private static final int MAXIMUM_PAUSE_FACTOR = 64;
 
     private record Batch(ArrayDeque<NamedObject> objects, Runnable whenWritten) {}
 
@@ -26,17 +27,18 @@
     private int pauseFactor = 1;
 
     /**
-     * An empty queue.
+     * Creates an empty queue.
      *
      * @param retryNanoseconds pause after a first failure
-     * @param random spreads the pauses, so that nodes do not all write when the store is back
+     * @param random adds jitter to the pauses, so that nodes do not all write at once when the
+     *     store recovers
      */
     public ObjectWriteQueue(long retryNanoseconds, RandomGenerator random) {
         this.retryNanoseconds = retryNanoseconds;
         this.random = random;
     }
 
-    /** Adds objects; {@code whenWritten} runs once all of them stand. */
+    /** Adds objects; {@code whenWritten} runs once all of them are written. */
     public void add(List<NamedObject> objects, Runnable whenWritten) {
         batches.add(new Batch(new ArrayDeque<>(objects), whenWritten));
         finishBatches();
@@ -67,10 +69,10 @@
         paused = true;
         long pause = retryNanoseconds * pauseFactor;
         notBeforeNanoseconds = nowNanoseconds + pause / 2 + random.nextLong(pause / 2 + 1);
-        pauseFactor = Math.min(pauseFactor * 2, LONGEST_PAUSE_FACTOR);
+        pauseFactor = Math.min(pauseFactor * 2, MAXIMUM_PAUSE_FACTOR);
     }
 
-    /** Whether nothing is left to write. */
+    /** Returns whether nothing is left to write. */
     public boolean isEmpty() {
         return batches.isEmpty();
     }
--- a/core/src/main/java/org/damaskmoor/core/accounting/ObjectWriteSource.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/ObjectWriteSource.java
@@ -3,15 +3,15 @@
 import java.util.Optional;
 
 /**
- * Objects that are to be written one after another. After {@link #next} gave an object, exactly one
- * of {@link #onWritten} and {@link #onFailed} has to follow before it gives another. Not
+ * Supplies objects to be written one at a time. After {@link #next} returned an object, exactly one
+ * of {@link #onWritten} and {@link #onFailed} must be called before it returns another. Not
  * thread-safe.
  */
 public interface ObjectWriteSource {
-    /** The object to write now, if any. */
+    /** Returns the object to write now, if any. */
     Optional<NamedObject> next(long nowNanoseconds);
 
-    /** The object in flight stands, written now or before. */
+    /** The object in flight exists in the store, written now or earlier. */
     void onWritten();
 
     /** The object in flight could not be written, or it is unknown whether it was. */
--- a/core/src/main/java/org/damaskmoor/core/accounting/Refusal.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/Refusal.java
@@ -6,12 +6,12 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * One refused request, as it is accounted for. Immutable and thread-safe.
+ * One refused request, as recorded for accounting. Immutable and thread-safe.
  *
- * @param service the service that was asked for, or {@link #NO_SERVICE}
- * @param caller who asked, or {@link #NO_CALLER}
+ * @param service the requested service, or {@link #NO_SERVICE}
+ * @param caller the caller, or {@link #NO_CALLER}
  * @param reason why it was refused
- * @param epochMinute when, in minutes since the epoch
+ * @param epochMinute time of the refusal, in minutes since the epoch
  * @param weight the request's weight
  */
 public record Refusal(
@@ -20,10 +20,10 @@
         RefusalReason reason,
         long epochMinute,
         long weight) {
-    /** Stands for the service of a request that matched none. */
+    /** Placeholder for the service of a request that matched none. */
     public static final ServiceName NO_SERVICE = new ServiceName("(none)");
 
-    /** Stands for the caller of a request that named none. */
+    /** Placeholder for the caller of a request that named none. */
     public static final CallerName NO_CALLER = new CallerName("(unknown)");
 
     public Refusal {
--- a/core/src/main/java/org/damaskmoor/core/accounting/RefusalBatchSender.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/RefusalBatchSender.java
@@ -4,8 +4,8 @@
 import org.damaskmoor.schema.mesh.RefusalBatch;
 
 /**
- * Hands a batch to the mesh. Must not block nor throw; a batch that cannot be sent is as good as
- * lost, and the writer notices by the silence.
+ * Sends refusal batches over the mesh. Must neither block nor throw: a batch that cannot be sent
+ * counts as lost, which {@link RefusalReplicator} detects by the missing acknowledgement.
  */
 @FunctionalInterface
 public interface RefusalBatchSender {
--- a/core/src/main/java/org/damaskmoor/core/accounting/RefusalCounters.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/RefusalCounters.java
@@ -13,17 +13,17 @@
  *
  * <p>When {@code maximumKeys} are in use, a new key is counted under the caller {@link #FOLDED};
  * when a quarter more are in use, also under the service {@link #FOLDED} and the first minute of
- * its hour. {@link #folded()} tells how many refusals that happened to.
+ * its hour. {@link #folded()} counts the refusals for which that happened.
  *
  * <p>Invariants: no refusal is lost or counted twice by folding; keys never exceed five quarters of
  * {@code maximumKeys} by more than one per reason and hour. Not thread-safe.
  */
 public final class RefusalCounters {
-    /** Stands for the callers, or services, that were folded together at the bound. */
+    /** Name under which callers or services are counted together at the key limit. */
     public static final String FOLDED = "(folded)";
 
-    private static final int CALLER_CHARACTERS = 128;
-    private static final int GAP_MINUTES = 24 * 60;
+    private static final int MAXIMUM_CALLER_CHARACTERS = 128;
+    private static final int MAXIMUM_GAP_MINUTES = 24 * 60;
     private static final int MINUTES_PER_HOUR = 60;
 
     private record Key(String service, String caller, int reason, long epochMinute) {}
@@ -38,11 +38,14 @@
     private final TreeMap<Long, Long> gaps = new TreeMap<>();
     private long folded;
 
-    /** An empty ledger; {@code maximumKeys} is the bound at which callers are folded. */
+    /**
+     * Creates empty counters; {@code maximumKeys} is the number of keys at which callers are
+     * folded.
+     */
     public RefusalCounters(int maximumKeys) {
         if (maximumKeys < 1) {
             throw new IllegalArgumentException(
-                    "A ledger needs room for a key, but the bound was " + maximumKeys + ".");
+                    "maximumKeys must be at least 1, but was " + maximumKeys + ".");
         }
         this.maximumKeys = maximumKeys;
     }
@@ -53,16 +56,16 @@
         Key key =
                 new Key(
                         refusal.service().value(),
-                        caller.length() > CALLER_CHARACTERS ? FOLDED : caller,
+                        caller.length() > MAXIMUM_CALLER_CHARACTERS ? FOLDED : caller,
                         refusal.reason().getNumber(),
                         refusal.epochMinute());
-        if (caller.length() > CALLER_CHARACTERS) {
+        if (caller.length() > MAXIMUM_CALLER_CHARACTERS) {
             folded++;
         }
         add(key, 1, refusal.weight());
     }
 
-    /** Counts refusals that were counted elsewhere before. */
+    /** Adds counts that were collected elsewhere. */
     public void addAll(List<RefusalCount> counts, List<RefusalGap> otherGaps, long otherFolded) {
         for (RefusalCount count : counts) {
             Key key =
@@ -77,9 +80,9 @@
         folded += otherFolded;
     }
 
-    /** Notes refusals of a minute that were answered before a peer had stored them. */
+    /** Records refusals of a minute that were answered before a peer had stored them. */
     public void addGap(long epochMinute, long count) {
-        boolean full = gaps.size() >= GAP_MINUTES && !gaps.containsKey(epochMinute);
+        boolean full = gaps.size() >= MAXIMUM_GAP_MINUTES && !gaps.containsKey(epochMinute);
         gaps.merge(full ? gaps.lastKey() : Long.valueOf(epochMinute), count, Long::sum);
     }
 
@@ -105,7 +108,7 @@
         return new Key(FOLDED, FOLDED, key.reason(), hourStart);
     }
 
-    /** The counts, one per key. */
+    /** Returns the counts, one per key. */
     public List<RefusalCount> counts() {
         List<RefusalCount> counts = new ArrayList<>(amounts.size());
         amounts.forEach((key, amount) -> counts.add(count(key, amount)));
@@ -123,7 +126,7 @@
                 .build();
     }
 
-    /** The gaps, one per minute. */
+    /** Returns the gaps, one per minute. */
     public List<RefusalGap> gaps() {
         return gaps.entrySet().stream()
                 .map(
@@ -135,17 +138,17 @@
                 .toList();
     }
 
-    /** How many refusals were counted under {@link #FOLDED}. */
+    /** Returns the number of refusals counted under {@link #FOLDED}. */
     public long folded() {
         return folded;
     }
 
-    /** Number of keys in use. */
+    /** Returns the number of keys in use. */
     public int size() {
         return amounts.size();
     }
 
-    /** Whether there is neither a count nor a gap. */
+    /** Returns whether there is neither a count nor a gap. */
     public boolean isEmpty() {
         return amounts.isEmpty() && gaps.isEmpty();
     }
--- a/core/src/main/java/org/damaskmoor/core/accounting/RefusalDurability.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/RefusalDurability.java
@@ -1,11 +1,11 @@
 package org.damaskmoor.core.accounting;
 
-/** What is known of a refusal's count at the moment that the refusal may be answered. */
+/** How durable a refusal's count is when the refusal may be answered. */
 public enum RefusalDurability {
-    /** A peer in another data centre holds it too. */
+    /** A peer in another data centre holds a copy of the count. */
     STORED,
     /**
-     * No peer stored it in time; this is recorded as a gap, and the owner still flushes the count.
+     * No peer stored the count in time; a gap is recorded, and the owner still flushes the count.
      */
     GAP
 }
--- a/core/src/main/java/org/damaskmoor/core/accounting/RefusalGroup.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/RefusalGroup.java
@@ -11,8 +11,8 @@
 /**
  * The sum of consecutive batches of one incarnation, from the first batch of a group on.
  *
- * <p>Invariant: two groups of an incarnation are disjoint or one contains the other, because the
- * owner alone decides where a group starts and everyone sums from that start. Immutable and
+ * <p>Invariant: two groups of an incarnation are disjoint or one contains the other, because only
+ * the owner decides where a group starts, and every node sums from that start. Immutable and
  * thread-safe.
  *
  * @param owner the node that refused
@@ -42,7 +42,7 @@
         gaps = List.copyOf(gaps);
     }
 
-    /** The group as one batch that a peer can store in place of the single ones. */
+    /** Returns the group as one batch that replaces the individual batches at a peer. */
     public RefusalBatch toBatch(long flushedThrough) {
         return RefusalBatch.newBuilder()
                 .setNodeId(owner.value())
--- a/core/src/main/java/org/damaskmoor/core/accounting/RefusalObjects.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/RefusalObjects.java
@@ -8,26 +8,26 @@
 import org.damaskmoor.schema.mesh.RefusalGap;
 
 /**
- * Turns a group into objects, one for each hour that it has counts of, so that a reader of an hour
- * lists that hour only.
+ * Serialises a group into one object for each hour with counts or gaps, so that a reader of an hour
+ * lists only its objects.
  *
- * <p>Invariant: the same group gives the same names, {@code refusals/{epoch
+ * <p>Invariant: the same group always gives the same names, {@code refusals/{epoch
  * hour}/{node}/{incarnation}/{first}-{last}}. Stateless and thread-safe.
  */
 public final class RefusalObjects {
-    /** Start of the names of all refusal objects. */
+    /** Prefix of the names of all refusal objects. */
     public static final String PREFIX = "refusals/";
 
     private static final long MINUTES_PER_HOUR = 60;
 
     private RefusalObjects() {}
 
-    /** Prefix of the names of one hour's objects. */
+    /** Returns the prefix of the names of one hour's objects. */
     public static String hourPrefix(long epochHour) {
         return PREFIX + epochHour + "/";
     }
 
-    /** The objects that hold the group. */
+    /** Returns the objects that contain the group. */
     public static List<NamedObject> of(RefusalGroup group) {
         TreeMap<Long, RefusalObject.Builder> hours = new TreeMap<>();
         for (RefusalCount count : group.counts()) {
--- a/core/src/main/java/org/damaskmoor/core/accounting/RefusalReconciler.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/RefusalReconciler.java
@@ -15,17 +15,17 @@
 import org.damaskmoor.schema.mesh.RefusalGap;
 
 /**
- * Sums refusal objects so that each refusal counts once, however often it was flushed.
+ * Sums refusal objects so that each refusal counts once, no matter how often it was flushed.
  *
- * <p>Invariant: of an incarnation's objects of one hour only those count that no other contains.
- * Memory grows with the objects added. Not thread-safe.
+ * <p>Invariant: of an incarnation's objects of one hour, only those that no other contains are
+ * counted. Memory grows with the objects added. Not thread-safe.
  */
 public final class RefusalReconciler {
     private record Owner(String node, long incarnation) {}
 
     private record OwnerHour(Owner owner, long epochHour) {}
 
-    private static final Comparator<RefusalObject> LONGEST_FIRST =
+    private static final Comparator<RefusalObject> BY_FIRST_THEN_LONGEST =
             Comparator.comparingLong(RefusalObject::getFirstSequence)
                     .thenComparing(
                             Comparator.comparingLong(RefusalObject::getLastSequence).reversed());
@@ -34,7 +34,10 @@
     private final long toEpochMinute;
     private final Map<OwnerHour, List<RefusalObject>> objects = new HashMap<>();
 
-    /** Sums minutes from {@code fromEpochMinute} on and before {@code toEpochMinute}. */
+    /**
+     * Sums the minutes from {@code fromEpochMinute} (inclusive) to {@code toEpochMinute}
+     * (exclusive).
+     */
     public RefusalReconciler(long fromEpochMinute, long toEpochMinute) {
         this.fromEpochMinute = fromEpochMinute;
         this.toEpochMinute = toEpochMinute;
@@ -48,7 +51,7 @@
                 .add(object);
     }
 
-    /** The sums of what was added. */
+    /** Returns the sums over all added objects. */
     public RefusalSummary summarize() {
         Map<Line.Key, long[]> totals = new HashMap<>();
         Map<Owner, SortedMap<Long, Long>> covered = new HashMap<>();
@@ -69,16 +72,16 @@
 
     private static List<RefusalObject> withoutContained(List<RefusalObject> sameHour) {
         List<RefusalObject> sorted = new ArrayList<>(sameHour);
-        sorted.sort(LONGEST_FIRST);
-        List<RefusalObject> kept = new ArrayList<>();
+        sorted.sort(BY_FIRST_THEN_LONGEST);
+        List<RefusalObject> counted = new ArrayList<>();
         long coveredThrough = 0;
         for (RefusalObject object : sorted) {
             if (object.getLastSequence() > coveredThrough) {
-                kept.add(object);
+                counted.add(object);
                 coveredThrough = object.getLastSequence();
             }
         }
-        return kept;
+        return counted;
     }
 
     private void sum(Map<Line.Key, long[]> totals, RefusalCount count) {
--- a/core/src/main/java/org/damaskmoor/core/accounting/RefusalReplica.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/RefusalReplica.java
@@ -14,49 +14,50 @@
 import org.damaskmoor.schema.mesh.RefusalBatchStored;
 
 /**
- * Keeps other nodes' refusals until their owners flushed them, and hands out what a dead owner
- * left.
+ * Holds copies of other nodes' refusal counts until their owners have flushed them, and hands out
+ * the unflushed groups of a dead owner.
  *
  * <pre>{@code
- * buddy.onBatch(batch).ifPresent(stored -> send(owner, stored));
- * buddy.onOwnerGone(owner, incarnation);   // dead, left, or back with a new incarnation
- * buddy.takeAbandoned();                   // to the flusher, then buddy.onFlushed(group)
+ * replica.onBatch(batch).ifPresent(stored -> send(owner, stored));
+ * replica.onOwnerDown(owner, incarnation);   // dead, left or restarted
+ * replica.takeOrphaned();                   // to the flusher, then replica.onFlushed(group)
  * }</pre>
  *
- * <p>Invariants: a batch received twice counts once; a batch is acknowledged only when all before
- * it in its group is held; keys never exceed the bound by more than one batch. An owner wrongly
- * taken for dead costs a double flush, which readers count once. Not thread-safe.
+ * <p>Invariants: a batch received twice counts once; a batch is acknowledged only when all earlier
+ * batches of its group are held; keys never exceed the bound by more than one batch. The groups of
+ * an owner that is wrongly considered dead are flushed twice, and readers count them once. Not
+ * thread-safe.
  */
 public final class RefusalReplica {
     private record Owner(NodeId node, Incarnation incarnation) {}
 
-    private static final class Held {
+    private static final class OwnerGroups {
         private final TreeMap<Long, OpenGroup> groups = new TreeMap<>();
-        private final Map<Long, Long> handedOutThrough = new HashMap<>();
+        private final Map<Long, Long> returnedThrough = new HashMap<>();
         private long flushedThrough;
-        private boolean gone;
+        private boolean down;
     }
 
     private final int maximumKeys;
     private final int maximumKeysPerGroup;
-    private final Map<Owner, Held> owners = new HashMap<>();
+    private final Map<Owner, OwnerGroups> owners = new HashMap<>();
 
     /**
-     * A buddy that holds nothing.
+     * Creates an empty replica.
      *
-     * @param maximumKeys keys of all owners at which batches are answered with "full"
-     * @param maximumKeysPerGroup keys at which callers of one group are folded
+     * @param maximumKeys total number of keys at which batches are answered with "full"
+     * @param maximumKeysPerGroup number of keys at which callers of one group are folded
      */
     public RefusalReplica(int maximumKeys, int maximumKeysPerGroup) {
         this.maximumKeys = maximumKeys;
         this.maximumKeysPerGroup = maximumKeysPerGroup;
     }
 
-    /** Takes a batch or a notice of what is flushed. Empty: there is nothing to answer. */
+    /** Handles a batch or a flush notice. Returns the response, empty if there is none. */
     public Optional<RefusalBatchStored> onBatch(RefusalBatch batch) {
         Owner owner =
                 new Owner(new NodeId(batch.getNodeId()), new Incarnation(batch.getIncarnation()));
-        abandonOlder(owner);
+        markOlderIncarnationsDown(owner);
         dropFlushed(owner, batch.getFlushedThrough());
         if (batch.getSequence() == 0) {
             return Optional.empty();
@@ -68,7 +69,7 @@
     }
 
     private boolean store(Owner owner, RefusalBatch batch) {
-        Held held = owners.computeIfAbsent(owner, unused -> new Held());
+        OwnerGroups held = owners.computeIfAbsent(owner, unused -> new OwnerGroups());
         if (batch.getSequence() <= held.flushedThrough) {
             return true;
         }
@@ -77,11 +78,11 @@
         if (group == null) {
             group = new OpenGroup(owner.node(), owner.incarnation(), first, maximumKeysPerGroup);
         }
-        boolean taken = group.append(batch);
-        if (taken) {
+        boolean added = group.append(batch);
+        if (added) {
             held.groups.put(first, group);
         }
-        return taken;
+        return added;
     }
 
     private static RefusalBatchStored.Builder answer(RefusalBatch batch) {
@@ -90,81 +91,81 @@
                 .setSequence(batch.getSequence());
     }
 
-    private void abandonOlder(Owner owner) {
+    private void markOlderIncarnationsDown(Owner owner) {
         owners.forEach(
                 (other, held) -> {
                     boolean older = other.incarnation().compareTo(owner.incarnation()) < 0;
-                    held.gone |= older && other.node().equals(owner.node());
+                    held.down |= older && other.node().equals(owner.node());
                 });
     }
 
     private void dropFlushed(Owner owner, long flushedThrough) {
-        Held held = owners.get(owner);
+        OwnerGroups held = owners.get(owner);
         if (held == null) {
             return;
         }
         held.flushedThrough = Math.max(held.flushedThrough, flushedThrough);
         held.groups.values().removeIf(group -> group.last() <= held.flushedThrough);
-        if (held.groups.isEmpty() && held.gone) {
+        if (held.groups.isEmpty() && held.down) {
             owners.remove(owner);
         }
     }
 
-    /** An incarnation of a node died or left: what it did not flush is abandoned. */
+    /** An incarnation of a node died or left: its unflushed groups become orphaned. */
     public void onOwnerDown(NodeId node, Incarnation incarnation) {
-        Held held = owners.get(new Owner(node, incarnation));
+        OwnerGroups held = owners.get(new Owner(node, incarnation));
         if (held != null) {
-            held.gone = true;
+            held.down = true;
         }
     }
 
-    /** A node that was taken for dead is alive after all. */
+    /** A node that was considered dead is alive. */
     public void onOwnerUp(NodeId node, Incarnation incarnation) {
-        Held held = owners.get(new Owner(node, incarnation));
+        OwnerGroups held = owners.get(new Owner(node, incarnation));
         if (held != null) {
-            held.gone = false;
+            held.down = false;
         }
     }
 
-    /** Groups to flush for owners that are gone; each state of a group is handed out once. */
+    /** Returns groups to flush for owners that are down; each state of a group is returned once. */
     public List<RefusalGroup> takeOrphaned() {
-        List<RefusalGroup> abandoned = new ArrayList<>();
-        Iterator<Held> iterator = owners.values().iterator();
+        List<RefusalGroup> orphaned = new ArrayList<>();
+        Iterator<OwnerGroups> iterator = owners.values().iterator();
         while (iterator.hasNext()) {
-            Held held = iterator.next();
-            if (held.gone) {
-                takeGroups(held, abandoned);
+            OwnerGroups held = iterator.next();
+            if (held.down) {
+                takeGroups(held, orphaned);
             }
-            if (held.gone && held.groups.isEmpty()) {
+            if (held.down && held.groups.isEmpty()) {
                 iterator.remove();
             }
         }
-        return abandoned;
+        return orphaned;
     }
 
-    private static void takeGroups(Held held, List<RefusalGroup> abandoned) {
+    private static void takeGroups(OwnerGroups held, List<RefusalGroup> orphaned) {
         for (OpenGroup group : held.groups.values()) {
-            Long handedOut = held.handedOutThrough.put(group.first(), group.last());
-            if (handedOut == null || handedOut < group.last()) {
-                abandoned.add(group.snapshot());
+            Long returned = held.returnedThrough.put(group.first(), group.last());
+            if (returned == null || returned < group.last()) {
+                orphaned.add(group.snapshot());
             }
         }
     }
 
-    /** A group that {@link #takeOrphaned} handed out stands in the object store. */
+    /** A group returned by {@link #takeOrphaned} was written to the object store. */
     public void onFlushed(RefusalGroup group) {
-        Held held = owners.get(new Owner(group.owner(), group.incarnation()));
+        OwnerGroups held = owners.get(new Owner(group.owner(), group.incarnation()));
         if (held == null) {
             return;
         }
         OpenGroup current = held.groups.get(group.first());
-        if (current != null && held.gone && current.last() <= group.last()) {
+        if (current != null && held.down && current.last() <= group.last()) {
             held.groups.remove(group.first());
-            held.handedOutThrough.remove(group.first());
+            held.returnedThrough.remove(group.first());
         }
     }
 
-    /** Keys held for all owners. */
+    /** Returns the number of keys held for all owners. */
     public int size() {
         return owners.values().stream()
                 .flatMap(held -> held.groups.values().stream())
@@ -172,7 +173,7 @@
                 .sum();
     }
 
-    /** Incarnations of nodes that something is kept of. */
+    /** Returns the number of node incarnations whose counts are held. */
     public int ownerCount() {
         return owners.size();
     }
--- a/core/src/main/java/org/damaskmoor/core/accounting/RefusalReplicator.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/RefusalReplicator.java
@@ -19,29 +19,30 @@
 import org.damaskmoor.schema.mesh.RefusalBatchStored;
 
 /**
- * Write-ahead log of an entry node's refusals at a peer in another data centre.
+ * Replicates an entry node's refusal counts to a peer in another data centre before the refusals
+ * are answered.
  *
  * <pre>{@code
- * writer.record(refusal, now).thenAccept(durability -> answerTheCaller());
- * writer.tick(now);                        // about every millisecond
- * writer.onStored(peer, stored, now);      // on a RefusalBatchStored frame
+ * replicator.record(refusal, now).thenAccept(durability -> answerCaller());
+ * replicator.tick(now); // about every millisecond
+ * replicator.onStored(peer, stored, now); // on a RefusalBatchStored frame
  * }</pre>
  *
- * <p>Refusals of about a millisecond form a batch. A silent, lost or full peer is replaced by
- * another, which gets all that is not flushed yet as one sum per group, so the current peer always
- * holds everything. A refusal that no peer stores in time is answered with {@link
- * RefusalDurability#GAP}; from then on refusals are answered at once, until a peer stores a batch
- * again.
+ * <p>Refusals of about a millisecond form a batch. An unresponsive, lost or full peer is replaced
+ * by another, which receives everything that is not flushed yet as one sum per group, so the
+ * current peer always holds all unflushed counts. A refusal that no peer stores in time is answered
+ * with {@link RefusalDurability#GAP}; from then on refusals are answered immediately, until a peer
+ * stores a batch again.
  *
  * <p>Invariants: every refusal is in exactly one batch; a sequence is used once; an incremental
- * batch goes only to a peer that was sent all before it in its group; memory is bounded by {@link
- * RefusalReplicatorLimits}, also in an outage of hours, since at most one closed and one open group
- * exist. Not thread-safe: one thread calls everything, and tickets complete on it.
+ * batch is sent only to a peer that was sent all earlier batches of its group; memory is bounded by
+ * {@link RefusalReplicatorLimits}, also in an outage of hours, because at most one closed and one
+ * open group exist. Not thread-safe: one thread makes all calls, and futures complete on it.
  */
 public final class RefusalReplicator {
-    private static final int FLUSH_NOTICES = 3;
-    private static final int SILENT_PEERS = 4;
-    private static final int LONGEST_PROBE_PAUSE_FACTOR = 32;
+    private static final int FLUSH_NOTICES_PER_PEER = 3;
+    private static final int MAXIMUM_UNRESPONSIVE_PEERS = 4;
+    private static final int MAXIMUM_PROBE_PAUSE_FACTOR = 32;
 
     private final NodeId self;
     private final Incarnation incarnation;
@@ -50,14 +51,14 @@
     private final RefusalBatchSender sender;
     private final RandomGenerator random;
     private final ReplicationProgress progress = new ReplicationProgress();
-    private final PendingRefusals waiting = new PendingRefusals();
-    private final Map<NodeId, Integer> noticesDue = new HashMap<>();
+    private final PendingRefusals unacknowledged = new PendingRefusals();
+    private final Map<NodeId, Integer> remainingFlushNotices = new HashMap<>();
 
-    private RefusalCounters pending;
-    private List<Ticket> pendingTickets = new ArrayList<>();
-    private long pendingSinceNanoseconds;
-    private OpenGroup group;
-    private RefusalGroup closed;
+    private RefusalCounters openBatch;
+    private List<Ticket> openBatchTickets = new ArrayList<>();
+    private long openBatchSinceNanoseconds;
+    private OpenGroup openGroup;
+    private RefusalGroup closedGroup;
     private NodeId peer;
     private long nextSequence = 1;
     private long flushedThrough;
@@ -66,10 +67,10 @@
     private int probePauseFactor = 1;
 
     /**
-     * A writer without refusals.
+     * Creates a replicator without refusals.
      *
-     * @param peers the nodes of other data centres that can be asked now
-     * @param random chooses among them
+     * @param peers supplies the currently reachable nodes of other data centres
+     * @param random chooses among the peers
      */
     public RefusalReplicator(
             NodeId self,
@@ -84,75 +85,76 @@
         this.peers = Objects.requireNonNull(peers, "peers");
         this.sender = Objects.requireNonNull(sender, "sender");
         this.random = Objects.requireNonNull(random, "random");
-        pending = new RefusalCounters(limits.maximumKeys());
-        group = newGroup();
+        openBatch = new RefusalCounters(limits.maximumKeys());
+        openGroup = newGroup();
     }
 
     /** Counts a refusal. The future completes when the refusal may be answered; it never fails. */
     public CompletableFuture<RefusalDurability> record(Refusal refusal, long nowNanoseconds) {
-        if (pending.isEmpty()) {
-            pendingSinceNanoseconds = nowNanoseconds;
+        if (openBatch.isEmpty()) {
+            openBatchSinceNanoseconds = nowNanoseconds;
         }
-        pending.add(refusal);
-        boolean full = waiting.size() + pendingTickets.size() >= limits.waitingRefusals();
+        openBatch.add(refusal);
+        boolean full = unacknowledged.size() + openBatchTickets.size() >= limits.waitingRefusals();
         if (degraded || full) {
-            pending.addGap(refusal.epochMinute(), 1);
+            openBatch.addGap(refusal.epochMinute(), 1);
             return CompletableFuture.completedFuture(RefusalDurability.GAP);
         }
         Ticket ticket = new Ticket(refusal.epochMinute(), new CompletableFuture<>());
-        pendingTickets.add(ticket);
+        openBatchTickets.add(ticket);
         return ticket.durability();
     }
 
     /**
-     * Counts refusals that were answered before they came here.
+     * Counts refusals that have already been answered.
      *
-     * @param answered their counts, each noted as a gap too
+     * @param answered their counts, each also recorded as a gap
      */
     public void recordAlreadyAnswered(RefusalCounters answered, long nowNanoseconds) {
-        if (pending.isEmpty()) {
-            pendingSinceNanoseconds = nowNanoseconds;
+        if (openBatch.isEmpty()) {
+            openBatchSinceNanoseconds = nowNanoseconds;
         }
-        pending.addAll(answered.counts(), answered.gaps(), answered.folded());
+        openBatch.addAll(answered.counts(), answered.gaps(), answered.folded());
     }
 
-    /** Does what is due at this time: sends, changes the peer, declares gaps. */
+    /** Performs what is due at this time: sends batches, replaces the peer, declares gaps. */
     public void tick(long nowNanoseconds) {
-        if (!pending.isEmpty()
-                && nowNanoseconds - pendingSinceNanoseconds >= limits.groupingNanoseconds()) {
-            sealBatch(nowNanoseconds);
+        if (!openBatch.isEmpty()
+                && nowNanoseconds - openBatchSinceNanoseconds >= limits.groupingNanoseconds()) {
+            closeBatch(nowNanoseconds);
         }
         declareGaps(limits.gapNanoseconds(), nowNanoseconds);
         if (degraded) {
             probe(nowNanoseconds);
         } else if (progress.isUnresponsiveFor(limits.silenceNanoseconds(), nowNanoseconds)) {
-            replaceSilentPeer(nowNanoseconds);
+            replaceUnresponsivePeer(nowNanoseconds);
         }
     }
 
-    /** A peer answered a batch. */
+    /** A peer responded to a batch. */
     public void onStored(NodeId from, RefusalBatchStored stored, long nowNanoseconds) {
-        boolean mine = stored.getIncarnation() == incarnation.value();
-        if (!mine || !noticesDue.containsKey(from)) {
+        boolean isOwn = stored.getIncarnation() == incarnation.value();
+        if (!isOwn || !remainingFlushNotices.containsKey(from)) {
             return;
         }
         if (stored.getFull()) {
             return;
         }
         recover(from, nowNanoseconds);
-        boolean ofOpenGroup = stored.getSequence() >= group.first();
+        boolean ofOpenGroup = stored.getSequence() >= openGroup.first();
         if (from.equals(peer)) {
-            noteProgress(stored.getSequence(), ofOpenGroup, nowNanoseconds);
+            recordProgress(stored.getSequence(), ofOpenGroup, nowNanoseconds);
         }
         complete(
-                waiting.takeStored(
-                        ofOpenGroup ? group.first() : closedFirst(), stored.getSequence()));
+                unacknowledged.takeStored(
+                        ofOpenGroup ? openGroup.first() : firstOfClosedGroup(),
+                        stored.getSequence()));
     }
 
-    private void noteProgress(long sequence, boolean ofOpenGroup, long nowNanoseconds) {
+    private void recordProgress(long sequence, boolean ofOpenGroup, long nowNanoseconds) {
         if (ofOpenGroup) {
             progress.onAcknowledged(sequence, nowNanoseconds);
-        } else if (closed != null && sequence >= closed.last()) {
+        } else if (closedGroup != null && sequence >= closedGroup.last()) {
             progress.onClosedGroupAcknowledged();
         }
     }
@@ -161,43 +163,43 @@
         stored.forEach(ticket -> ticket.durability().complete(RefusalDurability.STORED));
     }
 
-    /** Membership lost sight of a node, or it leaves: what it stored no longer counts. */
+    /** A node is dead or leaving: the copies that it stored no longer count. */
     public void onPeerLost(NodeId lost, long nowNanoseconds) {
-        noticesDue.remove(lost);
+        remainingFlushNotices.remove(lost);
         if (!lost.equals(peer)) {
             return;
         }
         peer = null;
-        if (!degraded && (closed != null || !group.isEmpty())) {
+        if (!degraded && (closedGroup != null || !openGroup.isEmpty())) {
             changePeer(nowNanoseconds);
         }
     }
 
     /**
-     * Closes the open group, so that it can be flushed. Empty when there is nothing to flush or the
-     * group closed before is not flushed yet; the open group then goes on growing.
+     * Closes the open group, so that it can be flushed. Empty if there is nothing to flush, or if
+     * the previous closed group is not flushed yet; the open group then continues to grow.
      */
     public Optional<RefusalGroup> closeGroup(long nowNanoseconds) {
-        if (closed != null) {
+        if (closedGroup != null) {
             return Optional.empty();
         }
-        if (!pending.isEmpty()) {
-            sealBatch(nowNanoseconds);
+        if (!openBatch.isEmpty()) {
+            closeBatch(nowNanoseconds);
         }
-        if (group.isEmpty()) {
+        if (openGroup.isEmpty()) {
             return Optional.empty();
         }
-        closed = group.snapshot();
-        group = newGroup();
-        progress.onGroupClosed(closed.last(), nowNanoseconds);
-        return Optional.of(closed);
+        closedGroup = openGroup.snapshot();
+        openGroup = newGroup();
+        progress.onGroupClosed(closedGroup.last(), nowNanoseconds);
+        return Optional.of(closedGroup);
     }
 
-    /** The closed group stands in the object store; peers are told so that they drop it. */
+    /** The closed group was written to the object store; notifies peers so that they drop it. */
     public void onFlushed() {
-        flushedThrough = closed.last();
-        List<Ticket> flushed = waiting.takeStored(closed.first(), closed.last());
-        closed = null;
+        flushedThrough = closedGroup.last();
+        List<Ticket> flushed = unacknowledged.takeStored(closedGroup.first(), closedGroup.last());
+        closedGroup = null;
         progress.onClosedGroupAcknowledged();
         RefusalBatch notice =
                 RefusalBatch.newBuilder()
@@ -205,36 +207,45 @@
                         .setIncarnation(incarnation.value())
                         .setFlushedThrough(flushedThrough)
                         .build();
-        List.copyOf(noticesDue.keySet()).forEach(holder -> sender.send(holder, notice));
-        noticesDue.replaceAll((holder, due) -> holder.equals(peer) ? due : due - 1);
-        noticesDue.values().removeIf(due -> due <= 0);
+        List.copyOf(remainingFlushNotices.keySet()).forEach(holder -> sender.send(holder, notice));
+        remainingFlushNotices.replaceAll((holder, due) -> holder.equals(peer) ? due : due - 1);
+        remainingFlushNotices.values().removeIf(due -> due <= 0);
         complete(flushed);
     }
 
-    /** Whether refusals are answered without waiting for a peer, because none answered in time. */
+    /**
+     * Returns whether refusals are answered without waiting for a peer, because none responded in
+     * time.
+     */
     public boolean isDegraded() {
         return degraded;
     }
 
-    /** Keys held in all, for metrics. */
+    /** Returns the total number of keys held, for metrics. */
     public int size() {
-        return pending.size() + group.size() + (closed == null ? 0 : closed.counts().size());
+        return openBatch.size()
+                + openGroup.size()
+                + (closedGroup == null ? 0 : closedGroup.counts().size());
     }
 
     private OpenGroup newGroup() {
         return new OpenGroup(self, incarnation, nextSequence, limits.maximumKeys());
     }
 
-    private long closedFirst() {
-        return closed == null ? 0 : closed.first();
+    private long firstOfClosedGroup() {
+        return closedGroup == null ? 0 : closedGroup.first();
     }
 
-    private void sealBatch(long nowNanoseconds) {
+    private void closeBatch(long nowNanoseconds) {
         RefusalBatch batch = nextBatch();
-        group.append(batch);
-        waiting.add(batch.getSequence(), group.first(), pendingSinceNanoseconds, pendingTickets);
-        pending = new RefusalCounters(limits.maximumKeys());
-        pendingTickets = new ArrayList<>();
+        openGroup.append(batch);
+        unacknowledged.add(
+                batch.getSequence(),
+                openGroup.first(),
+                openBatchSinceNanoseconds,
+                openBatchTickets);
+        openBatch = new RefusalCounters(limits.maximumKeys());
+        openBatchTickets = new ArrayList<>();
         if (degraded) {
             return;
         }
@@ -252,17 +263,17 @@
                 .setNodeId(self.value())
                 .setIncarnation(incarnation.value())
                 .setSequence(sequence)
-                .setGroupFirstSequence(group.first())
+                .setGroupFirstSequence(openGroup.first())
                 .setFirstSequence(sequence)
                 .setFlushedThrough(flushedThrough)
-                .addAllCounts(pending.counts())
-                .addAllGaps(pending.gaps())
-                .setFolded(pending.folded())
+                .addAllCounts(openBatch.counts())
+                .addAllGaps(openBatch.gaps())
+                .setFolded(openBatch.folded())
                 .build();
     }
 
-    private void replaceSilentPeer(long nowNanoseconds) {
-        if (progress.unresponsivePeers() >= SILENT_PEERS) {
+    private void replaceUnresponsivePeer(long nowNanoseconds) {
+        if (progress.unresponsivePeers() >= MAXIMUM_UNRESPONSIVE_PEERS) {
             degrade(nowNanoseconds);
         } else {
             changePeer(nowNanoseconds);
@@ -284,30 +295,30 @@
     }
 
     private void sendEverything(long nowNanoseconds) {
-        if (closed != null) {
-            send(closed.toBatch(flushedThrough));
+        if (closedGroup != null) {
+            send(closedGroup.toBatch(flushedThrough));
         }
-        if (!group.isEmpty()) {
-            send(group.snapshot().toBatch(flushedThrough));
+        if (!openGroup.isEmpty()) {
+            send(openGroup.snapshot().toBatch(flushedThrough));
         }
         progress.onEverythingSent(
-                nextSequence - 1, group.first() - 1, closed != null, nowNanoseconds);
+                nextSequence - 1, openGroup.first() - 1, closedGroup != null, nowNanoseconds);
     }
 
     private void send(RefusalBatch batch) {
-        noticesDue.put(peer, FLUSH_NOTICES);
+        remainingFlushNotices.put(peer, FLUSH_NOTICES_PER_PEER);
         sender.send(peer, batch);
     }
 
     private void declareGaps(long olderThanNanoseconds, long nowNanoseconds) {
-        List<Ticket> late = waiting.takeOlderThan(olderThanNanoseconds, nowNanoseconds);
+        List<Ticket> late = unacknowledged.takeOlderThan(olderThanNanoseconds, nowNanoseconds);
         if (late.isEmpty()) {
             return;
         }
-        if (pending.isEmpty()) {
-            pendingSinceNanoseconds = nowNanoseconds;
+        if (openBatch.isEmpty()) {
+            openBatchSinceNanoseconds = nowNanoseconds;
         }
-        late.forEach(ticket -> pending.addGap(ticket.epochMinute(), 1));
+        late.forEach(ticket -> openBatch.addGap(ticket.epochMinute(), 1));
         if (!degraded) {
             degrade(nowNanoseconds);
         }
@@ -324,7 +335,7 @@
         if (nowNanoseconds - nextProbeNanoseconds < 0) {
             return;
         }
-        probePauseFactor = Math.min(probePauseFactor * 2, LONGEST_PROBE_PAUSE_FACTOR);
+        probePauseFactor = Math.min(probePauseFactor * 2, MAXIMUM_PROBE_PAUSE_FACTOR);
         nextProbeNanoseconds = nowNanoseconds + limits.probeNanoseconds() * probePauseFactor;
         if (!peers.get().isEmpty()) {
             changePeer(nowNanoseconds);
--- a/core/src/main/java/org/damaskmoor/core/accounting/RefusalReplicatorLimits.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/RefusalReplicatorLimits.java
@@ -3,14 +3,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Bounds and times of a {@link RefusalReplicator}. Immutable and thread-safe.
+ * Limits and timeouts of a {@link RefusalReplicator}. Immutable and thread-safe.
  *
- * @param groupingNanoseconds how long refusals are gathered into one batch
- * @param silenceNanoseconds silence of a peer after which another is asked
- * @param gapNanoseconds longest wait of a refusal for a peer; then it is answered with a gap
- * @param probeNanoseconds pause before peers are asked again after a gap; doubles up to 32 times
- * @param waitingRefusals most refusals that wait for a peer
- * @param maximumKeys keys at which callers are folded
+ * @param groupingNanoseconds how long refusals are collected into one batch
+ * @param silenceNanoseconds time without progress after which a peer is replaced
+ * @param gapNanoseconds longest time that a refusal waits for a peer; then it is answered with a
+ *     gap
+ * @param probeNanoseconds pause before peers are tried again after a gap; doubles up to 32 times
+ *     its value
+ * @param waitingRefusals maximum number of refusals that wait for a peer
+ * @param maximumKeys number of keys at which callers are folded
  */
 public record RefusalReplicatorLimits(
         long groupingNanoseconds,
@@ -19,7 +21,7 @@
         long probeNanoseconds,
         int waitingRefusals,
         int maximumKeys) {
-    /** Limits that fit a node. */
+    /** Returns the limits that nodes use. */
     public static RefusalReplicatorLimits defaults() {
         return new RefusalReplicatorLimits(
                 TimeUnit.MILLISECONDS.toNanos(1),
--- a/core/src/main/java/org/damaskmoor/core/accounting/RefusalSummary.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/RefusalSummary.java
@@ -5,14 +5,14 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * Refusals of a time span by service, caller and reason, and what is known to be uncertain about
- * them. Immutable and thread-safe.
+ * Refusals of a time span by service, caller and reason, with the known uncertainties. Immutable
+ * and thread-safe.
  *
  * @param lines the sums in order of key
  * @param gaps refusals answered before a peer had stored them; they are in the sums, unless their
  *     node was lost before it flushed
- * @param missing batches that existed and were lost: their refusals are not in the sums
- * @param folded refusals whose caller was folded at a memory bound
+ * @param missing batches that were lost: their refusals are not in the sums
+ * @param folded refusals whose caller was folded at the key limit
  */
 public record RefusalSummary(
         List<Line> lines, List<Gap> gaps, List<MissingBatches> missing, long folded) {
@@ -22,7 +22,7 @@
         missing = List.copyOf(missing);
     }
 
-    /** All refusals. */
+    /** Returns the total number of refusals. */
     public long total() {
         return lines.stream().mapToLong(Line::count).sum();
     }
@@ -36,7 +36,7 @@
      */
     public record Line(Key key, long count, long weight) {
         /**
-         * What refusals are summed by.
+         * The key by which refusals are summed.
          *
          * @param service the service's name
          * @param caller the caller's name
--- a/core/src/main/java/org/damaskmoor/core/accounting/RequestCounters.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/RequestCounters.java
@@ -7,10 +7,11 @@
 import org.damaskmoor.schema.accounting.RequestCount;
 
 /**
- * Counts ended requests by service, kind and minute in bounded memory, for service levels.
+ * Counts completed requests by service, kind and minute in bounded memory, for service levels.
  *
  * <p>At {@code maximumKeys} a new key is counted under service and kind {@link
- * RefusalCounters#FOLDED} of its hour; {@link #folded()} tells how many requests that happened to.
+ * RefusalCounters#FOLDED} of its hour; {@link #folded()} counts the requests for which that
+ * happened.
  *
  * <p>Invariant: every request is counted once; keys never exceed the bound by more than one per
  * hour. Not thread-safe.
@@ -30,7 +31,9 @@
     private final Map<Key, Amounts> amounts = new HashMap<>();
     private long folded;
 
-    /** An empty ledger; {@code maximumKeys} is the bound at which kinds are folded. */
+    /**
+     * Creates empty counters; {@code maximumKeys} is the number of keys at which kinds are folded.
+     */
     public RequestCounters(int maximumKeys) {
         this.maximumKeys = maximumKeys;
     }
@@ -57,7 +60,7 @@
                 minute - Math.floorMod(minute, MINUTES_PER_HOUR));
     }
 
-    /** The counts, one per key. */
+    /** Returns the counts, one per key. */
     public List<RequestCount> counts() {
         return amounts.entrySet().stream()
                 .map(entry -> count(entry.getKey(), entry.getValue()))
@@ -87,12 +90,12 @@
         return sums.weightByEnd.getOrDefault(end, 0L);
     }
 
-    /** How many requests were counted under {@link RefusalCounters#FOLDED}. */
+    /** Returns the number of requests counted under {@link RefusalCounters#FOLDED}. */
     public long folded() {
         return folded;
     }
 
-    /** Number of keys in use. */
+    /** Returns the number of keys in use. */
     public int size() {
         return amounts.size();
     }
--- a/core/src/main/java/org/damaskmoor/core/accounting/RequestFlusher.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/RequestFlusher.java
@@ -10,19 +10,20 @@
 import org.damaskmoor.schema.accounting.RequestObject;
 
 /**
- * Counts ended requests and flushes the counts to the object store, at most once in an interval.
+ * Counts completed requests and flushes the counts to the object store, at most once in an
+ * interval.
  *
- * <p>There is no write-ahead: a node that dies loses the request counts of one interval (its
- * refusals are kept by {@link RefusalReplicator}). While the store is down, counts gather in one
- * ledger, folded at its bound. At an interval of a minute, 2,800 nodes write about 47 objects a
- * second.
+ * <p>The counts are not replicated: a node that dies loses the request counts of one interval (its
+ * refusals are replicated by {@link RefusalReplicator}). While the store is down, counts accumulate
+ * in one {@link RequestCounters}, folded at its key limit. At an interval of a minute, 2,800 nodes
+ * write about 47 objects a second.
  *
- * <p>Invariants: a flush is written under the same names with the same content until it stands, and
- * its requests are in no other flush. Names: {@code requests/{epoch
+ * <p>Invariants: a flush is retried under the same names with the same content until it is written,
+ * and its requests are in no other flush. Names: {@code requests/{epoch
  * hour}/{node}/{incarnation}/{sequence}}. Not thread-safe.
  */
 public final class RequestFlusher implements ObjectWriteSource {
-    /** Start of the names of all request objects. */
+    /** Prefix of the names of all request objects. */
     public static final String PREFIX = "requests/";
 
     private static final long MINUTES_PER_HOUR = 60;
@@ -32,15 +33,15 @@
     private final ObjectWriteQueue queue;
     private final long intervalNanoseconds;
     private final int maximumKeys;
-    private RequestCounters ledger;
+    private RequestCounters counters;
     private long nextSequence = 1;
     private long nextFlushNanoseconds;
 
     /**
-     * A flusher that starts at {@code nowNanoseconds}.
+     * Creates a flusher that starts at {@code nowNanoseconds}.
      *
      * @param queue used by this flusher only
-     * @param maximumKeys keys at which kinds are folded
+     * @param maximumKeys number of keys at which kinds are folded
      */
     public RequestFlusher(
             NodeId self,
@@ -55,21 +56,21 @@
         this.queue = queue;
         this.intervalNanoseconds = intervalNanoseconds;
         this.maximumKeys = maximumKeys;
-        ledger = new RequestCounters(maximumKeys);
+        counters = new RequestCounters(maximumKeys);
         nextFlushNanoseconds = nowNanoseconds + random.nextLong(intervalNanoseconds);
     }
 
-    /** Prefix of the names of one hour's objects. */
+    /** Returns the prefix of the names of one hour's objects. */
     public static String hourPrefix(long epochHour) {
         return PREFIX + epochHour + "/";
     }
 
     /** Counts one request. */
     public void record(CompletedRequest request) {
-        ledger.add(request);
+        counters.add(request);
     }
 
-    /** Queues what is due. */
+    /** Queues the counts if a flush is due. */
     public void tick(long nowNanoseconds) {
         if (nowNanoseconds - nextFlushNanoseconds >= 0) {
             nextFlushNanoseconds = nowNanoseconds + intervalNanoseconds;
@@ -77,25 +78,25 @@
         }
     }
 
-    /** Queues the counts now, unless the flush before is still being written. */
+    /** Queues the counts now, unless the previous flush is still being written. */
     public void flush() {
-        if (!queue.isEmpty() || ledger.size() == 0) {
+        if (!queue.isEmpty() || counters.size() == 0) {
             return;
         }
         List<NamedObject> objects = objects(nextSequence++);
-        ledger = new RequestCounters(maximumKeys);
+        counters = new RequestCounters(maximumKeys);
         queue.add(objects, () -> {});
     }
 
     private List<NamedObject> objects(long sequence) {
         TreeMap<Long, RequestObject.Builder> hours = new TreeMap<>();
-        for (RequestCount count : ledger.counts()) {
+        for (RequestCount count : counters.counts()) {
             hours.computeIfAbsent(
                             Math.floorDiv(count.getEpochMinute(), MINUTES_PER_HOUR),
                             hour -> newObject(hour, sequence))
                     .addCounts(count);
         }
-        hours.firstEntry().getValue().setFolded(ledger.folded());
+        hours.firstEntry().getValue().setFolded(counters.folded());
         return hours.values().stream().map(RequestFlusher::named).toList();
     }
 
@@ -133,7 +134,7 @@
         queue.onFailed(nowNanoseconds);
     }
 
-    /** Whether nothing is left to write. */
+    /** Returns whether nothing is left to write. */
     public boolean isIdle() {
         return queue.isEmpty();
     }
--- a/core/src/main/java/org/damaskmoor/core/accounting/RequestOutcome.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/RequestOutcome.java
@@ -1,10 +1,10 @@
 package org.damaskmoor.core.accounting;
 
-/** How a request ended, as the service level counts it. */
+/** How a request ended, as counted for the service level. */
 public enum RequestOutcome {
-    /** Answered whole within the latency objective. */
+    /** Answered completely within the latency objective. */
     ANSWERED_IN_TIME,
-    /** Answered whole, but past the latency objective. */
+    /** Answered completely, but later than the latency objective. */
     LATE,
     /** Refused; it did not run. */
     REFUSED,
--- a/core/src/main/java/org/damaskmoor/core/accounting/internal/OpenGroup.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/internal/OpenGroup.java
@@ -7,16 +7,17 @@
 import org.damaskmoor.schema.mesh.RefusalBatch;
 
 /**
- * The sum of an incarnation's batches since its group began; grows batch by batch.
+ * The sum of an incarnation's batches since its group was opened, extended batch by batch.
  *
- * <p>Invariant: covers the sequences {@code first} to {@code last} without a hole. Not thread-safe.
+ * <p>Invariant: covers the sequences {@code first} to {@code last} without a missing batch. Not
+ * thread-safe.
  */
 public final class OpenGroup {
     private final NodeId owner;
     private final Incarnation incarnation;
     private final long first;
     private final int maximumKeys;
-    private RefusalCounters ledger;
+    private RefusalCounters counters;
     private long last;
 
     public OpenGroup(NodeId owner, Incarnation incarnation, long first, int maximumKeys) {
@@ -24,7 +25,7 @@
         this.incarnation = incarnation;
         this.first = first;
         this.maximumKeys = maximumKeys;
-        ledger = new RefusalCounters(maximumKeys);
+        counters = new RefusalCounters(maximumKeys);
         last = first - 1;
     }
 
@@ -41,30 +42,36 @@
     }
 
     public int size() {
-        return ledger.size();
+        return counters.size();
     }
 
     /**
-     * Takes a batch in. {@code false}: batches before it are missing, so it was not taken; a batch
-     * that is covered already changes nothing.
+     * Adds a batch. Returns {@code false} if batches before it are missing, so that it was not
+     * added; a batch that is already covered changes nothing.
      */
     public boolean append(RefusalBatch batch) {
         if (batch.getSequence() <= last) {
             return true;
         }
         if (batch.getFirstSequence() == first) {
-            ledger = new RefusalCounters(maximumKeys);
+            counters = new RefusalCounters(maximumKeys);
         } else if (batch.getFirstSequence() != last + 1) {
             return false;
         }
-        ledger.addAll(batch.getCountsList(), batch.getGapsList(), batch.getFolded());
+        counters.addAll(batch.getCountsList(), batch.getGapsList(), batch.getFolded());
         last = batch.getSequence();
         return true;
     }
 
-    /** The group as it is now. */
+    /** Returns the current state of the group. */
     public RefusalGroup snapshot() {
         return new RefusalGroup(
-                owner, incarnation, first, last, ledger.counts(), ledger.gaps(), ledger.folded());
+                owner,
+                incarnation,
+                first,
+                last,
+                counters.counts(),
+                counters.gaps(),
+                counters.folded());
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/accounting/internal/PendingRefusals.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/internal/PendingRefusals.java
@@ -8,13 +8,13 @@
 import org.damaskmoor.core.accounting.RefusalDurability;
 
 /**
- * The refusals whose batches were not stored by a peer yet, oldest first.
+ * The refusals whose batches are not stored by a peer yet, oldest first.
  *
- * <p>Invariant: each ticket is completed once, after it was taken out. Not thread-safe.
+ * <p>Invariant: each ticket is completed once, after it was removed. Not thread-safe.
  */
 public final class PendingRefusals {
     /**
-     * One refusal that waits.
+     * One refusal that is not answered yet.
      *
      * @param epochMinute the refusal's minute
      * @param durability completed when the refusal may be answered
@@ -39,7 +39,7 @@
     private final ArrayDeque<Batch> batches = new ArrayDeque<>();
     private int size;
 
-    /** Adds a batch. */
+    /** Adds the tickets of a batch. */
     public void add(long sequence, long groupFirst, long openedNanoseconds, List<Ticket> tickets) {
         if (tickets.isEmpty()) {
             return;
@@ -48,34 +48,36 @@
         size += tickets.size();
     }
 
-    /** Number of refusals that wait. */
+    /** Returns the number of refusals. */
     public int size() {
         return size;
     }
 
-    /** Takes out what a peer stored: the batches of a group up to a sequence. */
+    /**
+     * Removes and returns the tickets that a peer stored: the batches of a group up to a sequence.
+     */
     public List<Ticket> takeStored(long groupFirst, long sequence) {
-        List<Ticket> taken = new ArrayList<>();
+        List<Ticket> removed = new ArrayList<>();
         Iterator<Batch> iterator = batches.iterator();
         while (iterator.hasNext()) {
             Batch batch = iterator.next();
             if (batch.groupFirst == groupFirst && batch.sequence <= sequence) {
                 iterator.remove();
-                taken.addAll(batch.tickets);
+                removed.addAll(batch.tickets);
             }
         }
-        size -= taken.size();
-        return taken;
+        size -= removed.size();
+        return removed;
     }
 
-    /** Takes out the batches that were opened that long ago. */
+    /** Removes and returns the tickets of batches that were opened at least that long ago. */
     public List<Ticket> takeOlderThan(long nanoseconds, long nowNanoseconds) {
-        List<Ticket> taken = new ArrayList<>();
+        List<Ticket> removed = new ArrayList<>();
         while (!batches.isEmpty()
                 && nowNanoseconds - batches.peek().openedNanoseconds >= nanoseconds) {
-            taken.addAll(batches.remove().tickets);
+            removed.addAll(batches.remove().tickets);
         }
-        size -= taken.size();
-        return taken;
+        size -= removed.size();
+        return removed;
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/accounting/internal/ReplicationProgress.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/internal/ReplicationProgress.java
@@ -1,75 +1,78 @@
 package org.damaskmoor.core.accounting.internal;
 
 /**
- * What the current peer was sent and what it said it holds.
+ * Tracks what the current peer was sent and what it acknowledged.
  *
- * <p>Invariant: {@code held <= sent} for the open group; the closed group is held whole or not. Not
- * thread-safe.
+ * <p>Invariant: {@code acknowledgedThrough <= sentThrough} for the open group; the closed group is
+ * acknowledged as a whole or not at all. Not thread-safe.
  */
 public final class ReplicationProgress {
     private long sentThrough;
-    private long heldThrough;
+    private long acknowledgedThrough;
     private long waitingSinceNanoseconds;
-    private boolean closedHeld = true;
+    private boolean closedAcknowledged = true;
     private long closedSentNanoseconds;
     private int silentPeers;
 
-    /** Whether the peer was sent everything up to the sequence. */
+    /** Returns whether the peer was sent everything up to the sequence. */
     public boolean wasSentThrough(long sequence) {
         return sentThrough == sequence;
     }
 
     /** The next batch of the open group was sent. */
     public void onBatchSent(long sequence, long nowNanoseconds) {
-        if (heldThrough >= sentThrough) {
+        if (acknowledgedThrough >= sentThrough) {
             waitingSinceNanoseconds = nowNanoseconds;
         }
         sentThrough = sequence;
     }
 
-    /** A peer, perhaps a new one, was sent all that is not flushed. */
+    /** A peer, perhaps a new one, was sent everything that is not flushed. */
     public void onEverythingSent(
-            long sequence, long heldBefore, boolean closed, long nowNanoseconds) {
+            long sequence, long acknowledgedBefore, boolean closed, long nowNanoseconds) {
         sentThrough = sequence;
-        heldThrough = heldBefore;
+        acknowledgedThrough = acknowledgedBefore;
         waitingSinceNanoseconds = nowNanoseconds;
-        closedHeld = !closed;
+        closedAcknowledged = !closed;
         closedSentNanoseconds = nowNanoseconds;
         silentPeers++;
     }
 
     /** The open group up to {@code last} became the closed one. */
     public void onGroupClosed(long last, long nowNanoseconds) {
-        closedHeld = heldThrough >= last;
+        closedAcknowledged = acknowledgedThrough >= last;
         closedSentNanoseconds = nowNanoseconds;
-        heldThrough = last;
+        acknowledgedThrough = last;
     }
 
-    /** The peer holds the open group up to a sequence. */
+    /** The peer acknowledged the open group up to a sequence. */
     public void onAcknowledged(long sequence, long nowNanoseconds) {
         silentPeers = 0;
-        if (sequence > heldThrough) {
-            heldThrough = sequence;
+        if (sequence > acknowledgedThrough) {
+            acknowledgedThrough = sequence;
             waitingSinceNanoseconds = nowNanoseconds;
         }
     }
 
-    /** The peer holds the closed group whole. */
+    /** The peer acknowledged the whole closed group. */
     public void onClosedGroupAcknowledged() {
         silentPeers = 0;
-        closedHeld = true;
+        closedAcknowledged = true;
     }
 
-    /** Whether something sent has not been held for that long without any progress. */
+    /**
+     * Returns whether something sent has been unacknowledged for that long without any progress.
+     */
     public boolean isUnresponsiveFor(long nanoseconds, long nowNanoseconds) {
         boolean openIsLate =
-                heldThrough < sentThrough
+                acknowledgedThrough < sentThrough
                         && nowNanoseconds - waitingSinceNanoseconds >= nanoseconds;
-        boolean closedIsLate = !closedHeld && nowNanoseconds - closedSentNanoseconds >= nanoseconds;
+        boolean closedIsLate =
+                !closedAcknowledged && nowNanoseconds - closedSentNanoseconds >= nanoseconds;
         return openIsLate || closedIsLate;
     }
 
-    /** Peers that were sent everything since one last answered. */
+    /** Returns the number of peers that were sent everything since the last acknowledgement. */
     public int unresponsivePeers() {
         return silentPeers;
     }
--- a/core/src/test/java/org/damaskmoor/core/accounting/AccountingSimulationTest.java
+++ b/core/src/test/java/org/damaskmoor/core/accounting/AccountingSimulationTest.java
@@ -27,8 +27,9 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * Drives writer, buddies, flusher and reconciler through random losses, duplicates, false and true
- * deaths and store failures, and compares with a plain count of the answered refusals.
+ * Runs replicator, replicas, flusher and reconciler with random message losses, duplicates, real
+ * and wrongly detected deaths and store failures, and compares the sums with a plain count of the
+ * answered refusals.
  */
 class AccountingSimulationTest {
     private static final long MILLISECOND = 1_000_000;
@@ -36,47 +37,47 @@
     private static final int MINUTE_STEPS = 400;
     private static final long FIRST_MINUTE = 59;
 
-    /** The naive side: what was answered, by caller and reason. */
+    /** Key of the expected counts of answered refusals. */
     private record Answered(String caller, RefusalReason reason) {}
 
-    private static final class World {
+    private static final class Simulation {
         final SplittableRandom random;
         final NodeId owner = new NodeId("owner");
         final Map<String, ByteString> store = new TreeMap<>();
         final List<Runnable> network = new ArrayList<>();
-        final Map<NodeId, RefusalReplica> buddies = new TreeMap<>();
-        final Map<NodeId, ObjectWriteQueue> buddyQueues = new TreeMap<>();
+        final Map<NodeId, RefusalReplica> replicas = new TreeMap<>();
+        final Map<NodeId, ObjectWriteQueue> replicaQueues = new TreeMap<>();
         final Map<Answered, Long> stored = new HashMap<>();
         final List<CompletableFuture<Void>> answers = new ArrayList<>();
         final Map<Answered, Long> recorded = new HashMap<>();
-        final Map<Answered, Long> all = new HashMap<>();
-        final RefusalReplicator writer;
+        final Map<Answered, Long> answered = new HashMap<>();
+        final RefusalReplicator replicator;
         final RefusalFlusher flusher;
         final Incarnation incarnation = new Incarnation(7);
         long now;
-        long gapsAnswered;
+        long answeredWithGap;
         boolean storeDown;
         boolean networkDown;
         boolean ownerDead;
 
-        World(long seed) {
+        Simulation(long seed) {
             random = new SplittableRandom(seed);
             for (String name : List.of("buddy-a", "buddy-b", "buddy-c")) {
-                buddies.put(new NodeId(name), new RefusalReplica(500, 200));
-                buddyQueues.put(
+                replicas.put(new NodeId(name), new RefusalReplica(500, 200));
+                replicaQueues.put(
                         new NodeId(name), new ObjectWriteQueue(10 * MILLISECOND, random.split()));
             }
-            writer =
+            replicator =
                     new RefusalReplicator(
                             owner,
                             incarnation,
                             RefusalReplicatorLimits.defaults(),
-                            () -> List.copyOf(buddies.keySet()),
+                            () -> List.copyOf(replicas.keySet()),
                             this::send,
                             random.split());
             flusher =
                     new RefusalFlusher(
-                            writer,
+                            replicator,
                             new RefusalReplica(1, 1),
                             new ObjectWriteQueue(10 * MILLISECOND, random.split()),
                             200 * MILLISECOND,
@@ -88,7 +89,9 @@
             deliver(() -> receive(peer, batch));
         }
 
-        /** Loses one in eight and doubles one in eight; order between pairs is random too. */
+        /**
+         * Loses one message in eight and duplicates one in eight; {@link #step} also reorders them.
+         */
         void deliver(Runnable message) {
             int copies = networkDown ? 0 : random.nextInt(8);
             if (copies == 0) {
@@ -101,17 +104,17 @@
         }
 
         void receive(NodeId peer, RefusalBatch batch) {
-            RefusalReplica buddy = buddies.get(peer);
-            if (buddy == null) {
+            RefusalReplica replica = replicas.get(peer);
+            if (replica == null) {
                 return;
             }
-            Optional<RefusalBatchStored> answer = buddy.onBatch(batch);
+            Optional<RefusalBatchStored> answer = replica.onBatch(batch);
             answer.ifPresent(
                     stored ->
                             deliver(
                                     () -> {
                                         if (!ownerDead) {
-                                            writer.onStored(peer, stored, now);
+                                            replicator.onStored(peer, stored, now);
                                         }
                                     }));
         }
@@ -132,15 +135,17 @@
                             2);
             recorded.merge(key, 1L, Long::sum);
             answers.add(
-                    writer.record(refusal, now).thenAccept(durability -> answer(key, durability)));
+                    replicator
+                            .record(refusal, now)
+                            .thenAccept(durability -> answer(key, durability)));
         }
 
         void answer(Answered key, RefusalDurability durability) {
-            all.merge(key, 1L, Long::sum);
+            answered.merge(key, 1L, Long::sum);
             if (durability == RefusalDurability.STORED) {
                 stored.merge(key, 1L, Long::sum);
             } else {
-                gapsAnswered++;
+                answeredWithGap++;
             }
         }
 
@@ -152,7 +157,7 @@
                 for (int i = random.nextInt(4); i > 0; i--) {
                     refuse();
                 }
-                writer.tick(now);
+                replicator.tick(now);
                 flusher.tick(now);
                 flusher.next(now)
                         .ifPresent(
@@ -167,10 +172,12 @@
             for (int i = random.nextInt(6); i > 0 && !network.isEmpty(); i--) {
                 network.remove(random.nextInt(Math.min(3, network.size()))).run();
             }
-            flushBuddies();
+            flushReplicas();
         }
 
-        /** Fails when the store is down; may lose the answer after the effect. */
+        /**
+         * Fails when the store is down; one response in four is lost after the write took effect.
+         */
         boolean write(NamedObject object) {
             if (storeDown) {
                 return false;
@@ -179,16 +186,16 @@
             return random.nextInt(4) != 0;
         }
 
-        void flushBuddies() {
-            buddies.forEach(
-                    (name, buddy) -> {
-                        ObjectWriteQueue queue = buddyQueues.get(name);
-                        buddy.takeOrphaned()
+        void flushReplicas() {
+            replicas.forEach(
+                    (name, replica) -> {
+                        ObjectWriteQueue queue = replicaQueues.get(name);
+                        replica.takeOrphaned()
                                 .forEach(
                                         group ->
                                                 queue.add(
                                                         RefusalObjects.of(group),
-                                                        () -> buddy.onFlushed(group)));
+                                                        () -> replica.onFlushed(group)));
                         queue.next(now)
                                 .ifPresent(
                                         object -> {
@@ -227,81 +234,89 @@
     void should_count_every_refusal_once_when_the_owner_survives(
             @ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
         // given
-        World world = new World(seed);
+        Simulation simulation = new Simulation(seed);
 
-        // when: a buddy dies, owners are wrongly taken for dead, the owner stops as planned
+        // when: a replica dies, the owner is wrongly considered dead, the owner stops as planned
         for (int i = 0; i < STEPS; i++) {
-            world.step();
+            simulation.step();
             if (i == STEPS / 2) {
-                killBuddy(world);
+                killReplica(simulation);
             }
-            if (world.random.nextInt(100) == 0) {
-                world.buddies
+            if (simulation.random.nextInt(100) == 0) {
+                simulation
+                        .replicas
                         .values()
-                        .forEach(buddy -> buddy.onOwnerDown(world.owner, world.incarnation));
+                        .forEach(
+                                replica ->
+                                        replica.onOwnerDown(
+                                                simulation.owner, simulation.incarnation));
             }
         }
-        stopAsPlanned(world);
+        stopAsPlanned(simulation);
 
         // then
-        RefusalSummary summary = world.summarize();
-        assertWithMessage("seed %s", seed).that(counts(summary)).isEqualTo(world.all);
+        RefusalSummary summary = simulation.summarize();
+        assertWithMessage("seed %s", seed).that(counts(summary)).isEqualTo(simulation.answered);
         assertThat(summary.missing()).isEmpty();
         assertThat(summary.gaps().stream().mapToLong(RefusalSummary.Gap::count).sum())
-                .isEqualTo(world.gapsAnswered);
+                .isEqualTo(simulation.answeredWithGap);
     }
 
     @Property(tries = 60, seed = "2")
     void should_count_every_stored_refusal_when_the_owner_dies(
             @ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
         // given
-        World world = new World(seed);
-        int death = 100 + world.random.nextInt(STEPS);
+        Simulation simulation = new Simulation(seed);
+        int death = 100 + simulation.random.nextInt(STEPS);
         for (int i = 0; i < death; i++) {
-            world.step();
+            simulation.step();
         }
 
         // when
-        world.ownerDead = true;
-        world.networkDown = false;
-        world.buddies.values().forEach(buddy -> buddy.onOwnerDown(world.owner, world.incarnation));
-        world.settle();
+        simulation.ownerDead = true;
+        simulation.networkDown = false;
+        simulation
+                .replicas
+                .values()
+                .forEach(replica -> replica.onOwnerDown(simulation.owner, simulation.incarnation));
+        simulation.settle();
 
         // then: nothing stored is missing, and nothing counts twice
-        Map<Answered, Long> counted = counts(world.summarize());
-        for (Map.Entry<Answered, Long> entry : world.recorded.entrySet()) {
+        Map<Answered, Long> counted = counts(simulation.summarize());
+        for (Map.Entry<Answered, Long> entry : simulation.recorded.entrySet()) {
             long count = counted.getOrDefault(entry.getKey(), 0L);
-            long stored = world.stored.getOrDefault(entry.getKey(), 0L);
+            long stored = simulation.stored.getOrDefault(entry.getKey(), 0L);
             assertWithMessage("seed %s key %s", seed, entry.getKey())
                     .that(count)
                     .isIn(Range.closed(stored, entry.getValue()));
         }
     }
 
-    private static void killBuddy(World world) {
-        NodeId dead = world.buddies.keySet().iterator().next();
-        world.buddies.remove(dead);
-        world.writer.onPeerLost(dead, world.now);
+    private static void killReplica(Simulation simulation) {
+        NodeId dead = simulation.replicas.keySet().iterator().next();
+        simulation.replicas.remove(dead);
+        simulation.replicator.onPeerLost(dead, simulation.now);
     }
 
-    private static void stopAsPlanned(World world) {
-        world.storeDown = false;
-        world.networkDown = false;
+    private static void stopAsPlanned(Simulation simulation) {
+        simulation.storeDown = false;
+        simulation.networkDown = false;
         for (int i = 0; i < 2_000; i++) {
-            world.now += MILLISECOND;
-            world.writer.tick(world.now);
-            world.flusher.flush(world.now);
-            world.flusher
-                    .next(world.now)
+            simulation.now += MILLISECOND;
+            simulation.replicator.tick(simulation.now);
+            simulation.flusher.flush(simulation.now);
+            simulation
+                    .flusher
+                    .next(simulation.now)
                     .ifPresent(
                             object -> {
-                                if (world.write(object)) {
-                                    world.flusher.onWritten();
+                                if (simulation.write(object)) {
+                                    simulation.flusher.onWritten();
                                 } else {
-                                    world.flusher.onFailed(world.now);
+                                    simulation.flusher.onFailed(simulation.now);
                                 }
                             });
-            world.flushBuddies();
+            simulation.flushReplicas();
         }
     }
 
--- a/core/src/test/java/org/damaskmoor/core/accounting/RefusalReplicaTest.java
+++ b/core/src/test/java/org/damaskmoor/core/accounting/RefusalReplicaTest.java
@@ -15,68 +15,68 @@
     private static final NodeId OWNER = new NodeId("owner");
     private static final Incarnation INCARNATION = new Incarnation(7);
 
-    private final RefusalReplica buddy = new RefusalReplica(3, 3);
+    private final RefusalReplica replica = new RefusalReplica(3, 3);
 
     @Test
-    void should_hand_out_what_a_killed_owner_did_not_flush() {
-        // given: the first group is flushed, a batch of the second comes twice
-        buddy.onBatch(batch(7, 1, 1, "a"));
-        buddy.onBatch(batch(7, 2, 2, "a").toBuilder().setFlushedThrough(1).build());
-        buddy.onBatch(batch(7, 2, 3, "a"));
-        buddy.onBatch(batch(7, 2, 3, "a"));
+    void should_return_the_unflushed_group_of_a_dead_owner() {
+        // given: the first group is flushed, a batch of the second arrives twice
+        replica.onBatch(batch(7, 1, 1, "a"));
+        replica.onBatch(batch(7, 2, 2, "a").toBuilder().setFlushedThrough(1).build());
+        replica.onBatch(batch(7, 2, 3, "a"));
+        replica.onBatch(batch(7, 2, 3, "a"));
 
         // when
-        buddy.onOwnerDown(OWNER, INCARNATION);
-        List<RefusalGroup> abandoned = buddy.takeOrphaned();
+        replica.onOwnerDown(OWNER, INCARNATION);
+        List<RefusalGroup> orphaned = replica.takeOrphaned();
 
         // then
-        assertThat(abandoned).hasSize(1);
-        assertThat(abandoned.get(0).first()).isEqualTo(2);
-        assertThat(abandoned.get(0).last()).isEqualTo(3);
-        assertThat(abandoned.get(0).counts().get(0).getCount()).isEqualTo(2);
-        assertThat(buddy.takeOrphaned()).isEmpty();
-        buddy.onFlushed(abandoned.get(0));
-        assertThat(buddy.size()).isEqualTo(0);
+        assertThat(orphaned).hasSize(1);
+        assertThat(orphaned.get(0).first()).isEqualTo(2);
+        assertThat(orphaned.get(0).last()).isEqualTo(3);
+        assertThat(orphaned.get(0).counts().get(0).getCount()).isEqualTo(2);
+        assertThat(replica.takeOrphaned()).isEmpty();
+        replica.onFlushed(orphaned.get(0));
+        assertThat(replica.size()).isEqualTo(0);
     }
 
     @Test
-    void should_abandon_an_incarnation_when_the_node_is_back_with_another() {
+    void should_treat_an_incarnation_as_down_when_the_node_restarted() {
         // given
-        buddy.onBatch(batch(7, 1, 1, "a"));
+        replica.onBatch(batch(7, 1, 1, "a"));
 
         // when
-        buddy.onBatch(batch(8, 1, 1, "a"));
+        replica.onBatch(batch(8, 1, 1, "a"));
 
         // then
-        assertThat(buddy.takeOrphaned().stream().map(RefusalGroup::incarnation))
+        assertThat(replica.takeOrphaned().stream().map(RefusalGroup::incarnation))
                 .containsExactly(INCARNATION);
     }
 
     @Test
     void should_not_acknowledge_a_batch_when_one_before_it_is_missing() {
         // given
-        buddy.onBatch(batch(7, 1, 1, "a"));
+        replica.onBatch(batch(7, 1, 1, "a"));
 
         // when
-        boolean acknowledged = buddy.onBatch(batch(7, 1, 3, "a")).isPresent();
+        boolean acknowledged = replica.onBatch(batch(7, 1, 3, "a")).isPresent();
 
         // then
         assertThat(acknowledged).isFalse();
     }
 
     @Test
-    void should_say_that_it_is_full_at_its_bound() {
+    void should_answer_full_when_the_key_limit_is_reached() {
         // given
-        buddy.onBatch(batch(7, 1, 1, "a"));
-        buddy.onBatch(batch(7, 1, 2, "b"));
-        buddy.onBatch(batch(7, 1, 3, "c"));
+        replica.onBatch(batch(7, 1, 1, "a"));
+        replica.onBatch(batch(7, 1, 2, "b"));
+        replica.onBatch(batch(7, 1, 3, "c"));
 
         // when
-        RefusalBatchStored answer = buddy.onBatch(batch(7, 1, 4, "d")).orElseThrow();
+        RefusalBatchStored answer = replica.onBatch(batch(7, 1, 4, "d")).orElseThrow();
 
         // then
         assertThat(answer.getFull()).isTrue();
-        assertThat(buddy.size()).isEqualTo(3);
+        assertThat(replica.size()).isEqualTo(3);
     }
 
     private static RefusalBatch batch(
--- a/core/src/test/java/org/damaskmoor/core/accounting/RefusalReplicatorTest.java
+++ b/core/src/test/java/org/damaskmoor/core/accounting/RefusalReplicatorTest.java
@@ -27,7 +27,7 @@
     private final List<CompletableFuture<RefusalDurability>> tickets = new ArrayList<>();
     private final List<Sent> sent = new ArrayList<>();
     private final List<NodeId> peers = new ArrayList<>(List.of(FIRST));
-    private final RefusalReplicator writer =
+    private final RefusalReplicator replicator =
             new RefusalReplicator(
                     new NodeId("owner"),
                     new Incarnation(7),
@@ -37,11 +37,11 @@
                     new SplittableRandom(1));
 
     @Test
-    void should_answer_refusals_of_a_millisecond_together_when_a_peer_stored_them() {
+    void should_answer_the_refusals_of_a_batch_when_a_peer_stored_it() {
         // given
-        CompletableFuture<RefusalDurability> one = writer.record(refusal("a", 1), 0);
-        CompletableFuture<RefusalDurability> two = writer.record(refusal("b", 1), 0);
-        writer.tick(MILLISECOND);
+        CompletableFuture<RefusalDurability> one = replicator.record(refusal("a", 1), 0);
+        CompletableFuture<RefusalDurability> two = replicator.record(refusal("b", 1), 0);
+        replicator.tick(MILLISECOND);
         assertThat(one.isDone()).isFalse();
 
         // when
@@ -54,20 +54,20 @@
     }
 
     @Test
-    void should_answer_with_a_recorded_gap_when_no_peer_answers_in_time() {
+    void should_answer_with_a_recorded_gap_when_no_peer_responds_in_time() {
         // given
-        CompletableFuture<RefusalDurability> refused = writer.record(refusal("a", 1), 0);
+        CompletableFuture<RefusalDurability> refused = replicator.record(refusal("a", 1), 0);
 
         // when
         for (long now = 0; now <= 300 * MILLISECOND; now += MILLISECOND) {
-            writer.tick(now);
+            replicator.tick(now);
         }
 
         // then
         assertThat(refused.join()).isEqualTo(RefusalDurability.GAP);
-        assertThat(writer.record(refusal("a", 1), 301 * MILLISECOND).join())
+        assertThat(replicator.record(refusal("a", 1), 301 * MILLISECOND).join())
                 .isEqualTo(RefusalDurability.GAP);
-        RefusalGroup group = writer.closeGroup(302 * MILLISECOND).orElseThrow();
+        RefusalGroup group = replicator.closeGroup(302 * MILLISECOND).orElseThrow();
         assertThat(group.gaps()).hasSize(1);
         assertThat(group.gaps().get(0).getCount()).isEqualTo(2);
         assertThat(group.counts().get(0).getCount()).isEqualTo(2);
@@ -77,13 +77,13 @@
     void should_send_everything_unflushed_to_another_peer_when_the_peer_is_lost() {
         // given: one stored batch in a closed group, one in the open group
         recordAndStore(0);
-        writer.closeGroup(10 * MILLISECOND);
+        replicator.closeGroup(10 * MILLISECOND);
         recordAndStore(20 * MILLISECOND);
         sent.clear();
         peers.set(0, SECOND);
 
         // when
-        writer.onPeerLost(FIRST, 30 * MILLISECOND);
+        replicator.onPeerLost(FIRST, 30 * MILLISECOND);
 
         // then
         assertThat(sent.stream().map(Sent::peer).distinct()).containsExactly(SECOND);
@@ -94,59 +94,59 @@
     }
 
     @Test
-    void should_send_the_closed_group_again_when_its_answer_is_lost() {
+    void should_send_the_closed_group_again_when_it_is_not_acknowledged() {
         // given
         recordAndStore(0);
-        writer.closeGroup(10 * MILLISECOND);
+        replicator.closeGroup(10 * MILLISECOND);
         peers.set(0, SECOND);
-        writer.onPeerLost(FIRST, 30 * MILLISECOND);
+        replicator.onPeerLost(FIRST, 30 * MILLISECOND);
         sent.clear();
 
-        // when: the new peer answers nothing
-        writer.tick(200 * MILLISECOND);
+        // when: the new peer does not respond
+        replicator.tick(200 * MILLISECOND);
 
         // then
         assertThat(last().batch().getSequence()).isEqualTo(1);
     }
 
     @Test
-    void should_keep_memory_bounded_and_every_refusal_counted_in_an_outage_of_hours() {
-        // given: store and peers are away for six hours, and every refusal has a new caller
-        tickets.add(writer.record(refusal("a", 0), 0));
-        writer.closeGroup(MILLISECOND);
+    void should_bound_memory_and_count_every_refusal_in_an_outage_of_hours() {
+        // given: store and peers are unreachable for six hours, and every refusal has a new caller
+        tickets.add(replicator.record(refusal("a", 0), 0));
+        replicator.closeGroup(MILLISECOND);
         peers.clear();
-        writer.onPeerLost(FIRST, MILLISECOND);
+        replicator.onPeerLost(FIRST, MILLISECOND);
         int refusals = 0;
 
         // when
         for (long minute = 0; minute < 360; minute++) {
             for (int i = 0; i < 200; i++) {
                 long now = TimeUnit.MINUTES.toNanos(minute) + i * MILLISECOND;
-                tickets.add(writer.record(refusal("caller-" + refusals, minute), now));
-                writer.tick(now);
+                tickets.add(replicator.record(refusal("caller-" + refusals, minute), now));
+                replicator.tick(now);
                 refusals++;
             }
         }
 
         // then
         assertThat(tickets.stream().allMatch(CompletableFuture::isDone)).isTrue();
-        assertThat(writer.size()).isAtMost(KEYS * 5 / 4 + 2 * 6 + 2);
-        writer.onFlushed();
-        RefusalGroup group = writer.closeGroup(TimeUnit.HOURS.toNanos(6)).orElseThrow();
+        assertThat(replicator.size()).isAtMost(KEYS * 5 / 4 + 2 * 6 + 2);
+        replicator.onFlushed();
+        RefusalGroup group = replicator.closeGroup(TimeUnit.HOURS.toNanos(6)).orElseThrow();
         assertThat(group.counts().stream().mapToLong(count -> count.getCount()).sum())
                 .isEqualTo(refusals);
         assertThat(group.folded()).isAtLeast(refusals - KEYS * 5L / 4);
     }
 
     private void recordAndStore(long now) {
-        CompletableFuture<RefusalDurability> ticket = writer.record(refusal("a", 1), now);
-        writer.tick(now + MILLISECOND);
+        CompletableFuture<RefusalDurability> ticket = replicator.record(refusal("a", 1), now);
+        replicator.tick(now + MILLISECOND);
         acknowledge(last(), now + 2 * MILLISECOND);
         assertThat(ticket.join()).isEqualTo(RefusalDurability.STORED);
     }
 
     private void acknowledge(Sent message, long now) {
-        writer.onStored(
+        replicator.onStored(
                 message.peer(),
                 RefusalBatchStored.newBuilder()
                         .setIncarnation(message.batch().getIncarnation())
