--- a/core/src/main/java/org/damaskmoor/core/configuration/ChangeOutcome.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/ChangeOutcome.java
@@ -3,42 +3,42 @@
 import java.util.List;
 import org.damaskmoor.schema.configuration.VersionedConfiguration;
 
-/** What became of a change. All are immutable and thread-safe. */
+/** Outcome of a configuration change. All are immutable and thread-safe. */
 public sealed interface ChangeOutcome {
     /**
-     * It is written and will be in force everywhere.
+     * The change is written and will be in force on every node.
      *
-     * @param version the version that the change got; a later one may be in force by now
-     * @param inForce the newest row that was seen
+     * @param version the version of the change; a later one may be in force by now
+     * @param inForce the newest row that was read
      */
     record Accepted(long version, VersionedConfiguration inForce) implements ChangeOutcome {}
 
     /**
-     * Another change came first; this one was not written and never will be.
+     * Another change was written first; this one was not written and never will be.
      *
-     * @param inForce what stands, with who changed it and when; the default instance when there is
-     *     no such service
+     * @param inForce the current row, with its author and time; the default instance if there is no
+     *     such service
      */
     record Conflict(VersionedConfiguration inForce) implements ChangeOutcome {}
 
     /**
-     * It was not written, for it is faulty.
+     * The change was not written, because it is invalid.
      *
      * @param faults every fault
      */
     record Invalid(List<ConfigurationFault> faults) implements ChangeOutcome {}
 
     /**
-     * This attempt certainly wrote nothing.
+     * The change was certainly not written by this attempt.
      *
      * @param problem why, and what to do
      */
     record NotAccepted(String problem) implements ChangeOutcome {}
 
     /**
-     * The table gave no answer after the write was sent: ask again with the same operation id.
+     * The table did not answer after the write was sent: retry with the same operation id.
      *
-     * @param operationId the id to ask again with
+     * @param operationId the id for the retry
      */
     record Unknown(String operationId) implements ChangeOutcome {}
 }
--- a/core/src/main/java/org/damaskmoor/core/configuration/ChangeRequest.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/ChangeRequest.java
@@ -4,14 +4,14 @@
 import org.damaskmoor.schema.configuration.ServiceConfiguration;
 
 /**
- * What an operator asks for. Immutable and thread-safe.
+ * A configuration change requested by an operator. Immutable and thread-safe.
  *
- * @param service the whole new configuration; for a deletion only its name counts
+ * @param service the whole new configuration; for a deletion only its name is used
  * @param deletion whether the service is to be deleted
  * @param expectedVersion version that the operator saw; 0: the service must not exist yet
- * @param operationId chosen by the operator; the same id again is the same change
- * @param operator who asks
- * @param atEpochMilliseconds when the node took the request
+ * @param operationId chosen by the operator; the same id identifies the same change
+ * @param operator who requests the change
+ * @param atEpochMilliseconds when the node received the request
  */
 public record ChangeRequest(
         ServiceConfiguration service,
@@ -20,7 +20,7 @@
         String operationId,
         String operator,
         long atEpochMilliseconds) {
-    /** The service that is to be changed. */
+    /** Returns the name of the service to change. */
     public ServiceName name() {
         return new ServiceName(service.getName());
     }
--- a/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationBootstrap.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationBootstrap.java
@@ -9,33 +9,34 @@
 import org.damaskmoor.core.id.NodeId;
 
 /**
- * Brings a fresh node up to date: asks a few peers and the platform's table for everything, and
- * afterwards reads the table now and then for a change whose node crashed before it told anyone.
+ * Loads all configurations into a starting node from a few peers and the platform's table.
+ * Afterwards it reads the table from time to time, to find changes whose node crashed before
+ * announcing them.
  *
- * <p>Invariant: ready only once the table answered or, while it is silent, a peer did, and every
- * other one that was asked answered or ran out of time. Not thread-safe: one thread drives it.
+ * <p>Invariant: ready only after the table or at least one peer answered, and the other requests
+ * were answered, failed or timed out. Not thread-safe: one thread drives it.
  */
 public final class ConfigurationBootstrap {
     private static final int PEERS_ASKED = 3;
     private static final long ANSWER_TIMEOUT_MILLISECONDS = 3_000;
 
-    /** Time between two reads of the whole table by all nodes together. */
-    private static final long GROUP_READ_INTERVAL_MILLISECONDS = 6_000;
+    /** Average time between two reads of the whole table, over all nodes. */
+    private static final long FLEET_READ_INTERVAL_MILLISECONDS = 6_000;
 
     private final ConfigurationStore store;
     private final ConfigurationRequester requester;
     private final ServiceTable table;
     private final Executor driver;
-    private final Set<NodeId> silentPeers = new HashSet<>();
+    private final Set<NodeId> pendingPeers = new HashSet<>();
     private boolean peerAnswered;
     private boolean tableAnswered;
-    private boolean tableSilent;
+    private boolean tableReadPending;
     private boolean ready;
     private long deadlineMilliseconds;
     private long nextReadMilliseconds;
 
     /**
-     * A start; begin with {@link #requestAll}.
+     * Creates a bootstrap; call {@link #requestAll} first.
      *
      * @param driver runs tasks on the thread that drives this object
      */
@@ -50,76 +51,76 @@
         this.driver = driver;
     }
 
-    /** Asks the first few of these peers, nearest first, and the table. */
+    /** Requests all configurations from the table and the first few of these peers. */
     public void requestAll(List<NodeId> peers, long nowMilliseconds) {
         deadlineMilliseconds = nowMilliseconds + ANSWER_TIMEOUT_MILLISECONDS;
-        silentPeers.clear();
+        pendingPeers.clear();
         for (NodeId peer : peers.subList(0, Math.min(PEERS_ASKED, peers.size()))) {
-            silentPeers.add(peer);
+            pendingPeers.add(peer);
             requester.request(peer, List.of());
         }
         readTable();
     }
 
     private void readTable() {
-        tableSilent = true;
+        tableReadPending = true;
         CompletableFuture<?> unused = table.readAll().whenCompleteAsync(this::onRows, driver);
     }
 
     private void onRows(List<Row> rows, Throwable problem) {
-        tableSilent = false;
+        tableReadPending = false;
         if (problem == null) {
             tableAnswered = true;
             rows.forEach(row -> store.accept(row.configuration()));
         }
     }
 
-    /** A peer's answer was taken in by {@link ConfigurationPuller#onAnswer}. */
+    /** A peer's answer was processed by {@link ConfigurationPuller#onAnswer}. */
     public void onAnswer(NodeId peer) {
-        peerAnswered |= silentPeers.remove(peer);
+        peerAnswered |= pendingPeers.remove(peer);
     }
 
-    /** A peer could not be asked. */
+    /** A request to a peer failed. */
     public void onFailure(NodeId peer) {
-        silentPeers.remove(peer);
+        pendingPeers.remove(peer);
     }
 
     /**
-     * Does what is due: asks again when nobody answered, reads the table when it is this node's
-     * turn.
+     * Repeats the requests if none was answered in time, and reads the table when its next read is
+     * due.
      *
-     * @param peers present peers, nearest first
-     * @param turn from 0 to 1, drawn at random for each call
+     * @param peers live peers, nearest first
+     * @param randomFraction random number from 0 to 1, new for each call
      */
-    public void tick(List<NodeId> peers, double turn, long nowMilliseconds) {
+    public void tick(List<NodeId> peers, double randomFraction, long nowMilliseconds) {
         if (isReady(nowMilliseconds)) {
-            readInTurn(peers.size() + 1, turn, nowMilliseconds);
+            readTableWhenDue(peers.size() + 1, randomFraction, nowMilliseconds);
         } else if (nowMilliseconds >= deadlineMilliseconds) {
             requestAll(peers, nowMilliseconds);
         }
     }
 
-    private void readInTurn(int nodes, double turn, long nowMilliseconds) {
+    private void readTableWhenDue(int nodes, double randomFraction, long nowMilliseconds) {
         if (nowMilliseconds < nextReadMilliseconds) {
             return;
         }
         boolean first = nextReadMilliseconds == 0;
-        double interval = 2.0 * turn * nodes * GROUP_READ_INTERVAL_MILLISECONDS;
+        double interval = 2.0 * randomFraction * nodes * FLEET_READ_INTERVAL_MILLISECONDS;
         nextReadMilliseconds = nowMilliseconds + (long) Math.max(1, interval);
-        if (!first && !tableSilent) {
+        if (!first && !tableReadPending) {
             readTable();
         }
     }
 
-    /** Whether the node holds the newest of what peers and table can give. */
+    /** Returns whether the node holds the newest configurations that peers and table provided. */
     public boolean isReady(long nowMilliseconds) {
-        boolean allAnswered = silentPeers.isEmpty() && !tableSilent;
+        boolean allAnswered = pendingPeers.isEmpty() && !tableReadPending;
         boolean waitedEnough = allAnswered || nowMilliseconds >= deadlineMilliseconds;
         ready |= (tableAnswered || peerAnswered) && waitedEnough;
         return ready;
     }
 
-    /** Whether the table answered since the start of the node. */
+    /** Returns whether the table has answered since the node started. */
     public boolean hasTableAnswered() {
         return tableAnswered;
     }
--- a/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationChanger.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationChanger.java
@@ -15,27 +15,28 @@
 import org.damaskmoor.schema.configuration.VersionedConfiguration;
 
 /**
- * Carries out operators' changes at the node that took them.
+ * Executes operators' configuration changes at the node that received them.
  *
  * <pre>{@code
  * changer.apply(request, othersConfigurations).thenAccept(outcome -> ...);
  * }</pre>
  *
- * <p>Invariants: accepted means written; a write whose answer was lost is settled by its operation
- * id and never reported as not accepted; a change is written at most once, because every write is
- * conditional on the row as first read. Thread-safe if the table and the listener are.
+ * <p>Invariants: accepted means written; the outcome of a write whose answer was lost is determined
+ * by its operation id, and never reported as not accepted; a change is written at most once,
+ * because every write is conditional on the row that was read. Thread-safe if the table and the
+ * listener are.
  */
 public final class ConfigurationChanger {
-    private static final int MOST_ATTEMPTS = 4;
+    private static final int MAXIMUM_ATTEMPTS = 4;
 
     private final ServiceTable table;
     private final ConfigurationValidator validator;
     private final Consumer<VersionedConfiguration> acceptedListener;
 
     /**
-     * A changer.
+     * Creates a changer.
      *
-     * @param acceptedListener hears each accepted change, to take it in and tell the others
+     * @param acceptedListener receives each accepted change, to apply and announce it
      */
     public ConfigurationChanger(
             ServiceTable table,
@@ -47,9 +48,9 @@
     }
 
     /**
-     * Carries out one change; the result never completes exceptionally for a table that fails.
+     * Executes one change; a failure of the table never completes the result exceptionally.
      *
-     * @param known all configurations that the node holds, to find clashes between services
+     * @param known all configurations that the node holds, to find conflicts between services
      */
     public CompletableFuture<ChangeOutcome> apply(
             ChangeRequest request, List<VersionedConfiguration> known) {
@@ -57,19 +58,19 @@
         if (!faults.isEmpty()) {
             return CompletableFuture.completedFuture(new Invalid(faults));
         }
-        return new Run(request).start().whenComplete(this::tell);
+        return new Run(request).start().whenComplete(this::notifyListener);
     }
 
-    private void tell(ChangeOutcome outcome, Throwable problem) {
+    private void notifyListener(ChangeOutcome outcome, Throwable problem) {
         if (outcome instanceof Accepted accepted) {
             acceptedListener.accept(accepted.inForce());
         }
     }
 
-    /** What a call of the table came to. */
+    /** Result of a call to the table. */
     private record Answer<T>(T value, Throwable problem) {}
 
-    /** One change under way. Its steps follow one another, so that no two threads meet here. */
+    /** One change in progress. Its steps never run concurrently, so it needs no synchronisation. */
     private final class Run {
         private final ChangeRequest request;
         private boolean mayBeWritten;
@@ -118,12 +119,14 @@
             if (answer.value) {
                 return done(new Accepted(next.getVersion(), next));
             }
-            return attempts++ < MOST_ATTEMPTS ? start() : giveUp("The row kept changing.");
+            return attempts++ < MAXIMUM_ATTEMPTS
+                    ? start()
+                    : giveUp("Other changes to the row came first on every attempt.");
         }
 
-        /** Reads back: the operation id in the row, or a row that moved on, settles the matter. */
+        /** Reads the row again: its operation id, or a newer version, determines the outcome. */
         private CompletableFuture<ChangeOutcome> onFailure(Throwable problem) {
-            if (++attempts < MOST_ATTEMPTS) {
+            if (++attempts < MAXIMUM_ATTEMPTS) {
                 return start();
             }
             return giveUp(problem.getMessage());
--- a/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationFault.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationFault.java
@@ -1,7 +1,7 @@
 package org.damaskmoor.core.configuration;
 
 /**
- * One thing that is wrong with a configuration. Immutable and thread-safe.
+ * One validation error in a configuration. Immutable and thread-safe.
  *
  * @param field path of the field, for example {@code rules[2].importance}
  * @param problem what is wrong and what is allowed
--- a/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationGossip.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationGossip.java
@@ -9,44 +9,45 @@
 import org.damaskmoor.schema.gossip.QuarantineRecord;
 
 /**
- * Lets configuration versions ride on the membership protocol, and repairs what gossip missed: when
- * a peer's digest differs although nothing is under way, it is told all versions held here, and
- * asks for those that it lacks.
+ * Spreads configuration versions over the membership protocol and repairs what gossip missed: when
+ * a peer's digest still differs after this node's has been stable for two seconds, it is sent all
+ * versions held here, and requests those that it lacks.
  *
- * <p>Invariant: versions are told to a peer at most once per interval, which doubles while that
- * brings no change. Not thread-safe: one thread drives it.
+ * <p>Invariant: all versions are sent to at most one peer per interval, which doubles while the
+ * digest of this node does not change. Not thread-safe: one thread drives it.
  */
 public final class ConfigurationGossip implements GossipExtension {
-    private static final long QUIET_MILLISECONDS = 2_000;
-    private static final long SHORTEST_REPAIR_MILLISECONDS = 5_000;
-    private static final long LONGEST_REPAIR_MILLISECONDS = 60_000;
+    private static final long STABLE_MILLISECONDS = 2_000;
+    private static final long MINIMUM_REPAIR_INTERVAL_MILLISECONDS = 5_000;
+    private static final long MAXIMUM_REPAIR_INTERVAL_MILLISECONDS = 60_000;
 
     private final ConfigurationStore store;
     private final ConfigurationPuller puller;
     private final PeerConfigurationTracker peers;
-    private final BiConsumer<NodeId, List<ConfigurationVersion>> teller;
+    private final BiConsumer<NodeId, List<ConfigurationVersion>> versionSender;
     private final Predicate<QuarantineRecord> quarantine;
     private long lastDigest;
     private long digestSinceMilliseconds;
     private long nextRepairMilliseconds;
-    private long repairIntervalMilliseconds = SHORTEST_REPAIR_MILLISECONDS;
+    private long repairIntervalMilliseconds = MINIMUM_REPAIR_INTERVAL_MILLISECONDS;
 
     /**
-     * The extension to hand to the membership protocol.
+     * Creates the extension of the membership protocol.
      *
-     * @param teller tells a peer versions: {@code MembershipProtocol::tell}
-     * @param quarantine hears of requests that crash upstreams; returns whether it was news
+     * @param versionSender sends versions to a peer: {@code MembershipProtocol::sendVersions}
+     * @param quarantine receives records of requests that crash upstreams; returns whether the
+     *     record was new
      */
     public ConfigurationGossip(
             ConfigurationStore store,
             ConfigurationPuller puller,
             PeerConfigurationTracker peers,
-            BiConsumer<NodeId, List<ConfigurationVersion>> teller,
+            BiConsumer<NodeId, List<ConfigurationVersion>> versionSender,
             Predicate<QuarantineRecord> quarantine) {
         this.store = store;
         this.puller = puller;
         this.peers = peers;
-        this.teller = teller;
+        this.versionSender = versionSender;
         this.quarantine = quarantine;
     }
 
@@ -66,24 +67,24 @@
 
     @Override
     public void onConfigurationDigest(NodeId from, long digest, long nowMilliseconds) {
-        noteOwnDigest(nowMilliseconds);
+        updateOwnDigest(nowMilliseconds);
         peers.onPeerDigest(from, digest);
-        boolean quiet = nowMilliseconds - digestSinceMilliseconds >= QUIET_MILLISECONDS;
+        boolean stable = nowMilliseconds - digestSinceMilliseconds >= STABLE_MILLISECONDS;
         boolean due = nowMilliseconds >= nextRepairMilliseconds;
-        if (digest != store.digest() && quiet && due) {
+        if (digest != store.digest() && stable && due) {
             nextRepairMilliseconds = nowMilliseconds + repairIntervalMilliseconds;
             repairIntervalMilliseconds =
-                    Math.min(2 * repairIntervalMilliseconds, LONGEST_REPAIR_MILLISECONDS);
-            teller.accept(from, store.versions());
+                    Math.min(2 * repairIntervalMilliseconds, MAXIMUM_REPAIR_INTERVAL_MILLISECONDS);
+            versionSender.accept(from, store.versions());
         }
     }
 
-    private void noteOwnDigest(long nowMilliseconds) {
+    private void updateOwnDigest(long nowMilliseconds) {
         peers.onOwnDigest(store.digest());
         if (store.digest() != lastDigest) {
             lastDigest = store.digest();
             digestSinceMilliseconds = nowMilliseconds;
-            repairIntervalMilliseconds = SHORTEST_REPAIR_MILLISECONDS;
+            repairIntervalMilliseconds = MINIMUM_REPAIR_INTERVAL_MILLISECONDS;
         }
     }
 
--- a/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationPuller.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationPuller.java
@@ -20,11 +20,11 @@
 import org.damaskmoor.schema.mesh.ConfigurationAnswer;
 
 /**
- * Fetches the full text of versions that were heard of: from the peers that told of them, one after
- * the other, and from the platform's table when they do not give it.
+ * Fetches configurations whose versions were announced: from the announcing peers, one after
+ * another, and from the platform's table if they do not provide them.
  *
  * <p>Invariant: a version is wanted until the store holds it or a newer one. Not thread-safe: one
- * thread drives it, and answers of the table are handed to that thread's executor.
+ * thread drives it, and results of the table are passed to that thread's executor.
  */
 public final class ConfigurationPuller {
     private static final long ANSWER_TIMEOUT_MILLISECONDS = 500;
@@ -40,13 +40,13 @@
     private static final class Wanted {
         final LinkedHashSet<NodeId> sources = new LinkedHashSet<>();
         long version;
-        int asked;
+        int attempts;
         NodeId askedPeer;
         long deadlineMilliseconds;
     }
 
     /**
-     * A puller.
+     * Creates a puller.
      *
      * @param driver runs tasks on the thread that drives this object
      */
@@ -62,7 +62,7 @@
     }
 
     /**
-     * Notes that a peer knows of a version; the next {@link #tick} asks for it if it is lacking.
+     * Records that a peer announced a version; the next {@link #tick} requests it if it is missing.
      */
     public void onVersionAnnounced(NodeId peer, ConfigurationVersion version) {
         if (!store.lacks(version)) {
@@ -72,13 +72,15 @@
         if (version.getVersion() > entry.version) {
             entry.version = version.getVersion();
             entry.sources.clear();
-            entry.asked = 0;
+            entry.attempts = 0;
             entry.deadlineMilliseconds = 0;
         }
         entry.sources.add(peer);
     }
 
-    /** Asks for what is lacking and was not answered in time. Call it every 100 milliseconds. */
+    /**
+     * Requests missing versions whose previous request timed out. Call it every 100 milliseconds.
+     */
     public void tick(long nowMilliseconds) {
         wanted.entrySet().removeIf(entry -> isHeld(entry.getKey(), entry.getValue()));
         Map<NodeId, List<String>> requests = new HashMap<>();
@@ -99,8 +101,8 @@
             Wanted entry,
             Map<NodeId, List<String>> requests,
             long nowMilliseconds) {
-        boolean tableIsNext = entry.asked % (PEERS_BEFORE_TABLE + 1) == PEERS_BEFORE_TABLE;
-        entry.asked++;
+        boolean tableIsNext = entry.attempts % (PEERS_BEFORE_TABLE + 1) == PEERS_BEFORE_TABLE;
+        entry.attempts++;
         if (tableIsNext || entry.sources.isEmpty()) {
             entry.askedPeer = null;
             entry.deadlineMilliseconds = nowMilliseconds + TABLE_TIMEOUT_MILLISECONDS;
@@ -112,7 +114,7 @@
         requests.computeIfAbsent(entry.askedPeer, peer -> new ArrayList<>()).add(service);
     }
 
-    /** The source that waited longest; it goes to the end of the row. */
+    /** Returns the least recently asked source and moves it to the end. */
     private static NodeId nextSource(Wanted entry) {
         NodeId source = entry.sources.iterator().next();
         entry.sources.remove(source);
@@ -136,18 +138,18 @@
         }
     }
 
-    /** Takes in a peer's answer; texts that cannot be read are left out. */
+    /** Stores the configurations in a peer's answer, except those that cannot be parsed. */
     public void onAnswer(NodeId peer, ConfigurationAnswer answer) {
-        for (ByteString text : answer.getConfigurationsList()) {
+        for (ByteString bytes : answer.getConfigurationsList()) {
             try {
-                store.accept(VersionedConfiguration.parseFrom(text));
+                store.accept(VersionedConfiguration.parseFrom(bytes));
             } catch (InvalidProtocolBufferException problem) {
                 onFailure(peer);
             }
         }
     }
 
-    /** The peer could not be asked: the next source is asked at the next tick. */
+    /** A request to the peer failed: the next source is asked at the next tick. */
     public void onFailure(NodeId peer) {
         for (Wanted entry : wanted.values()) {
             if (peer.equals(entry.askedPeer)) {
@@ -156,20 +158,20 @@
         }
     }
 
-    /** Whether a version is known to exist that is not held. */
+    /** Returns whether an announced version is not held yet. */
     public boolean isWaiting() {
         return wanted.entrySet().stream()
                 .anyMatch(entry -> !isHeld(entry.getKey(), entry.getValue()));
     }
 
-    /** What a node answers to a {@code ConfigurationRequest} for these services (empty: all). */
+    /** Returns the answer to a {@code ConfigurationRequest} for these services (empty: all). */
     public static ConfigurationAnswer answer(
             ConfigurationStore store, Collection<String> services) {
         ConfigurationAnswer.Builder answer = ConfigurationAnswer.newBuilder();
         for (VersionedConfiguration configuration : store.all()) {
-            boolean asked =
+            boolean requested =
                     services.isEmpty() || services.contains(configuration.getService().getName());
-            if (asked) {
+            if (requested) {
                 answer.addConfigurations(configuration.toByteString());
             }
         }
--- a/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationRequester.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationRequester.java
@@ -7,7 +7,7 @@
 @FunctionalInterface
 public interface ConfigurationRequester {
     /**
-     * Asks a peer; the answer or the failure comes back through {@link ConfigurationPuller}.
+     * Sends a request to a peer; the answer or failure is passed to {@link ConfigurationPuller}.
      *
      * @param services names of services; empty: all
      */
--- a/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationStore.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationStore.java
@@ -12,83 +12,83 @@
 import org.damaskmoor.schema.gossip.ConfigurationVersion;
 
 /**
- * The configuration that a node holds, one version for each service.
+ * The configurations that a node holds, one version for each service.
  *
- * <p>Invariants: the version of a service only grows, also over its deletion; the digest is the
- * same on two nodes that hold the same versions. Not thread-safe: one thread drives it; the
- * listener publishes what other threads read.
+ * <p>Invariants: the version of a service only increases, also across its deletion; two nodes that
+ * hold the same versions have the same digest. Not thread-safe: one thread drives it; the listener
+ * publishes configurations to other threads.
  */
 public final class ConfigurationStore {
     private final Map<String, VersionedConfiguration> held = new TreeMap<>();
-    private final Map<String, Long> newestHeard = new HashMap<>();
+    private final Map<String, Long> newestAnnounced = new HashMap<>();
     private final Consumer<VersionedConfiguration> listener;
     private long digest;
 
     /**
-     * An empty store.
+     * Creates an empty store.
      *
-     * @param listener hears each version that was taken in
+     * @param listener receives each accepted version
      */
     public ConfigurationStore(Consumer<VersionedConfiguration> listener) {
         this.listener = listener;
     }
 
-    /** Takes in a version unless it is not newer than the one held; returns whether it did. */
+    /** Stores a version if it is newer than the one held; returns whether it was stored. */
     public boolean accept(VersionedConfiguration configuration) {
         String service = configuration.getService().getName();
-        long former = versionOf(service);
+        long previous = versionOf(service);
         long version = configuration.getVersion();
-        if (service.isEmpty() || version <= former) {
+        if (service.isEmpty() || version <= previous) {
             return false;
         }
         held.put(service, configuration);
-        digest ^= digestOf(service, former) ^ digestOf(service, version);
-        newestHeard.merge(service, version, Math::max);
+        digest ^= digestOf(service, previous) ^ digestOf(service, version);
+        newestAnnounced.merge(service, version, Math::max);
         listener.accept(configuration);
         return true;
     }
 
-    /** Notes that a version exists somewhere; returns whether this was news. */
+    /** Records that a version exists; returns whether it is newer than all known ones. */
     public boolean recordAnnounced(ConfigurationVersion version) {
-        long former = newestHeard.getOrDefault(version.getService(), 0L);
-        newestHeard.merge(version.getService(), version.getVersion(), Math::max);
-        return version.getVersion() > former;
+        long previous = newestAnnounced.getOrDefault(version.getService(), 0L);
+        newestAnnounced.merge(version.getService(), version.getVersion(), Math::max);
+        return version.getVersion() > previous;
     }
 
-    /** Whether an older version than this one is held, or none. */
+    /** Returns whether an older version than this one is held, or none. */
     public boolean lacks(ConfigurationVersion version) {
         return versionOf(version.getService()) < version.getVersion();
     }
 
-    /** Version held of a service; 0 when none. */
+    /** Returns the version held of a service; 0 if none. */
     public long versionOf(String service) {
         VersionedConfiguration configuration = held.get(service);
         return configuration == null ? 0 : configuration.getVersion();
     }
 
-    /** Digest over all versions held; 0 when none is. */
+    /** Returns the digest over all versions held; 0 if none is. */
     public long digest() {
         return digest;
     }
 
-    /** What is held of a service, also when it was deleted. */
+    /** Returns the configuration held of a service, including a deleted one. */
     public Optional<VersionedConfiguration> find(ServiceName service) {
         return Optional.ofNullable(held.get(service.value()));
     }
 
-    /** All that is held, deleted services included, in order of name. */
+    /** Returns all configurations held, deleted services included, in order of name. */
     public List<VersionedConfiguration> all() {
         return List.copyOf(held.values());
     }
 
-    /** The versions held, in order of name. */
+    /** Returns the versions held, in order of name. */
     public List<ConfigurationVersion> versions() {
         List<ConfigurationVersion> versions = new ArrayList<>(held.size());
         held.forEach((service, configuration) -> versions.add(versionOf(configuration)));
         return versions;
     }
 
-    /** Service and version of a configuration, as they are gossiped. */
+    /** Returns service and version of a configuration in the form that is gossiped. */
     public static ConfigurationVersion versionOf(VersionedConfiguration configuration) {
         return ConfigurationVersion.newBuilder()
                 .setService(configuration.getService().getName())
--- a/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationValidator.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationValidator.java
@@ -18,25 +18,25 @@
 import org.damaskmoor.schema.configuration.VersionedConfiguration;
 
 /**
- * Checks a change before it is written and lists every fault with the path of its field.
+ * Validates a change before it is written and reports every fault with the path of its field.
  *
- * <p>Without state, so thread-safe.
+ * <p>Stateless and thread-safe.
  */
 public final class ConfigurationValidator {
     private static final Pattern NAME = Pattern.compile("[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?");
     private static final Pattern HOST = Pattern.compile("[a-z0-9_.-]{1,253}|\\[[0-9a-f:.]+\\]");
     private static final Pattern HEADER = Pattern.compile("[!#$%&'*+.^_`|~0-9A-Za-z-]+");
-    private static final int GRAVEST_IMPORTANCE = 3;
-    private static final int LONGEST_TIMEOUT_MILLISECONDS = 3_600_000;
-    private static final int LONGEST_CALLER = 255;
-    private static final int MOST_WEIGHT = 1_000_000;
+    private static final int MAXIMUM_IMPORTANCE = 3;
+    private static final int MAXIMUM_TIMEOUT_MILLISECONDS = 3_600_000;
+    private static final int MAXIMUM_CALLER_CHARACTERS = 255;
+    private static final int MAXIMUM_WEIGHT = 1_000_000;
     private static final int MILLION = 1_000_000;
-    private static final int MOST_BYTES = 256 * 1024;
+    private static final int MAXIMUM_BYTES = 256 * 1024;
 
     /**
-     * Checks a change.
+     * Validates a change.
      *
-     * @param known all configurations that the node holds, to find clashes between services
+     * @param known all configurations that the node holds, to find conflicts between services
      * @return every fault; empty: the change may be written
      */
     public List<ConfigurationFault> validate(
@@ -51,16 +51,16 @@
         faults.check(!request.operator().isEmpty(), "operator", "must not be empty");
         if (!request.deletion()) {
             validateContent(service, faults);
-            validateClashes(service, known, faults);
+            validateConflicts(service, known, faults);
         }
         return faults.found;
     }
 
     private static void validateContent(ServiceConfiguration service, Faults faults) {
         faults.check(
-                service.getSerializedSize() <= MOST_BYTES,
+                service.getSerializedSize() <= MAXIMUM_BYTES,
                 "service",
-                "must be at most " + MOST_BYTES + " bytes long");
+                "must be at most " + MAXIMUM_BYTES + " bytes long");
         validateHosts(service, faults);
         validatePrefixes(service, faults);
         Set<String> names = new HashSet<>();
@@ -71,7 +71,7 @@
         faults.atMost(service.getRouting().getEjectedPercent(), 100, "routing.ejected_percent");
         faults.atMost(
                 service.getRouting().getSlowStartMilliseconds(),
-                LONGEST_TIMEOUT_MILLISECONDS,
+                MAXIMUM_TIMEOUT_MILLISECONDS,
                 "routing.slow_start_milliseconds");
         faults.atMost(
                 service.getRouting().getSampledCandidates(), 100, "routing.sampled_candidates");
@@ -87,7 +87,7 @@
             String field = "hosts[" + i + "]";
             String host = HostNames.normalise(service.getHosts(i));
             faults.check(HOST.matcher(host).matches(), field, "must be a host name without a port");
-            faults.check(seen.add(host), field, "stands twice: " + host);
+            faults.check(seen.add(host), field, "occurs more than once: " + host);
         }
     }
 
@@ -97,16 +97,20 @@
             String field = "path_prefixes[" + i + "]";
             String prefix = service.getPathPrefixes(i);
             validatePrefix(prefix, field, faults);
-            faults.check(seen.add(prefix), field, "stands twice: " + prefix);
+            faults.check(seen.add(prefix), field, "occurs more than once: " + prefix);
         }
     }
 
     private static void validatePrefix(String prefix, String field, Faults faults) {
-        boolean plain = prefix.chars().allMatch(each -> each > ' ' && each < 127);
+        boolean printable =
+                prefix.chars().allMatch(character -> character > ' ' && character < 127);
         faults.check(
-                prefix.startsWith("/") && plain && !prefix.contains("?") && !prefix.contains("#"),
+                prefix.startsWith("/")
+                        && printable
+                        && !prefix.contains("?")
+                        && !prefix.contains("#"),
                 field,
-                "must begin with / and hold neither blanks, ? nor #");
+                "must begin with / and contain only visible ASCII characters except ? and #");
     }
 
     private static void validateRule(
@@ -115,7 +119,7 @@
         faults.check(
                 rule.getName().isEmpty() || names.add(rule.getName()),
                 path + "name",
-                "stands twice: " + rule.getName());
+                "occurs more than once: " + rule.getName());
         for (int i = 0; i < rule.getMethodsCount(); i++) {
             faults.check(
                     HttpMethods.isKnown(rule.getMethods(i)),
@@ -125,11 +129,11 @@
         if (!rule.getPathPrefix().isEmpty()) {
             validatePrefix(rule.getPathPrefix(), path + "path_prefix", faults);
         }
-        faults.atMost(rule.getImportance(), GRAVEST_IMPORTANCE, path + "importance");
-        faults.atMost(rule.getWeight(), MOST_WEIGHT, path + "weight");
+        faults.atMost(rule.getImportance(), MAXIMUM_IMPORTANCE, path + "importance");
+        faults.atMost(rule.getWeight(), MAXIMUM_WEIGHT, path + "weight");
         faults.atMost(
                 rule.getTimeoutMilliseconds(),
-                LONGEST_TIMEOUT_MILLISECONDS,
+                MAXIMUM_TIMEOUT_MILLISECONDS,
                 path + "timeout_milliseconds");
         for (int i = 0; i < rule.getAllowedCallersCount(); i++) {
             validateCaller(rule.getAllowedCallers(i), path + "allowed_callers[" + i + "]", faults);
@@ -142,9 +146,9 @@
 
     private static void validateCaller(String caller, String field, Faults faults) {
         faults.check(
-                !caller.isEmpty() && caller.length() <= LONGEST_CALLER,
+                !caller.isEmpty() && caller.length() <= MAXIMUM_CALLER_CHARACTERS,
                 field,
-                "must be 1 to " + LONGEST_CALLER + " characters long");
+                "must be 1 to " + MAXIMUM_CALLER_CHARACTERS + " characters long");
     }
 
     private static void validateCallers(CallerIdentification identification, Faults faults) {
@@ -174,9 +178,9 @@
             faults.check(
                     seen.add(weight.getCaller()),
                     field + "caller",
-                    "stands twice: " + weight.getCaller());
+                    "occurs more than once: " + weight.getCaller());
             faults.check(weight.getWeight() != 0, field + "weight", "must be at least 1");
-            faults.atMost(weight.getWeight(), MOST_WEIGHT, field + "weight");
+            faults.atMost(weight.getWeight(), MAXIMUM_WEIGHT, field + "weight");
         }
     }
 
@@ -205,23 +209,23 @@
                     "must be at least 1");
             faults.atMost(
                     objective.getLatencyMilliseconds(),
-                    LONGEST_TIMEOUT_MILLISECONDS,
+                    MAXIMUM_TIMEOUT_MILLISECONDS,
                     field + "latency_milliseconds");
-            faults.check(seen.add(objective), "objectives[" + i + "]", "stands twice");
+            faults.check(seen.add(objective), "objectives[" + i + "]", "occurs more than once");
         }
     }
 
-    private static void validateClashes(
+    private static void validateConflicts(
             ServiceConfiguration service, List<VersionedConfiguration> known, Faults faults) {
         for (VersionedConfiguration other : known) {
             boolean same = other.getService().getName().equals(service.getName());
             if (!same && !other.getDeleted()) {
-                validateClash(service, other.getService(), faults);
+                validateConflict(service, other.getService(), faults);
             }
         }
     }
 
-    private static void validateClash(
+    private static void validateConflict(
             ServiceConfiguration service, ServiceConfiguration other, Faults faults) {
         Set<String> hosts = new HashSet<>();
         other.getHostsList().forEach(host -> hosts.add(HostNames.normalise(host)));
--- a/core/src/main/java/org/damaskmoor/core/configuration/MatchedRule.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/MatchedRule.java
@@ -3,16 +3,16 @@
 import java.util.Set;
 
 /**
- * How one kind of request is treated. Immutable and thread-safe.
+ * The rule that applies to a request. Immutable and thread-safe.
  *
  * @param name the rule's name; empty for requests that no rule matches
  * @param kind the kind under which the service level is counted
  * @param nonIdempotent whether it runs at most once
  * @param claim whether its Idempotency-Key is claimed before the run
- * @param weight share of the service level that one request counts for; at least 1
+ * @param weight weight of one request in the service level; at least 1
  * @param importance 0 (shed first) to 3 (shed last)
- * @param timeoutMilliseconds deadline when the caller names none; 0: the node's default
- * @param allowedCallers the only callers that may use it; empty: all
+ * @param timeoutMilliseconds deadline if the caller sets none; 0: the node's default
+ * @param allowedCallers the only callers that may send such requests; empty: all
  */
 public record MatchedRule(
         String name,
@@ -28,7 +28,7 @@
         allowedCallers = Set.copyOf(allowedCallers);
     }
 
-    /** Whether the caller may use it; if not, the reason of the refusal is NOT_ALLOWED. */
+    /** Returns whether the caller may send such requests; others are refused as NOT_ALLOWED. */
     public boolean allows(String caller) {
         return allowedCallers.isEmpty() || allowedCallers.contains(caller);
     }
--- a/core/src/main/java/org/damaskmoor/core/configuration/MatchedService.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/MatchedService.java
@@ -2,25 +2,25 @@
 
 import org.damaskmoor.schema.configuration.ServiceConfiguration;
 
-/** A service in the form that requests are matched with. Immutable and thread-safe. */
+/** A service with its rules compiled for matching requests. Immutable and thread-safe. */
 public interface MatchedService {
-    /** The caller of a request that carries no name and comes from no known range. */
+    /** Caller of a request without caller header from an address in no configured range. */
     String UNIDENTIFIED_CALLER = "unidentified";
 
-    /** The service's name. */
+    /** Returns the service's name. */
     String name();
 
-    /** Version of the configuration that it was made from. */
+    /** Returns the version of the configuration that it was built from. */
     long version();
 
-    /** The configuration that it was made from. */
+    /** Returns the configuration that it was built from. */
     ServiceConfiguration configuration();
 
-    /** Name of the header that names the caller. */
+    /** Returns the name of the header that contains the caller. */
     String callerHeader();
 
     /**
-     * The first rule that matches, or the treatment of requests that none matches.
+     * Returns the first matching rule, or the default rule if none matches.
      *
      * @param method as sent
      * @param path with or without a query
@@ -28,9 +28,9 @@
     MatchedRule findRule(String method, String path);
 
     /**
-     * The caller's name.
+     * Returns the caller's name.
      *
-     * @param headerValue value of {@link #callerHeader()}; null or empty when absent
+     * @param headerValue value of {@link #callerHeader()}; null or empty if absent
      * @param address the peer's address, 4 or 16 bytes
      */
     String callerOf(String headerValue, byte[] address);
--- a/core/src/main/java/org/damaskmoor/core/configuration/PeerConfigurationTracker.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/PeerConfigurationTracker.java
@@ -7,61 +7,61 @@
 import org.damaskmoor.core.id.NodeId;
 
 /**
- * Which peers are behind, from the digests that they were last heard with.
+ * Tracks which peers have outdated configurations, by the digests that they last sent.
  *
- * <p>Invariant: a peer is called behind only if it was heard with a digest that this node itself
- * had before. Not thread-safe: one thread drives it.
+ * <p>Invariant: a peer counts as behind only if it last sent a digest that this node had before.
+ * Not thread-safe: one thread drives it.
  */
 public final class PeerConfigurationTracker {
-    private static final int FORMER_DIGESTS_KEPT = 64;
+    private static final int PREVIOUS_DIGESTS_KEPT = 64;
 
     private final Map<NodeId, Long> digests = new HashMap<>();
-    private final Deque<Long> formerDigests = new ArrayDeque<>();
+    private final Deque<Long> previousDigests = new ArrayDeque<>();
     private long ownDigest;
 
-    /** How a peer's configuration stands to the own one. */
-    public enum Standing {
-        /** It was heard with the same versions. */
+    /** How a peer's configurations compare to those of this node. */
+    public enum VersionStatus {
+        /** The peer last reported the same versions. */
         SAME,
-        /** It was last heard with versions that this node has left behind. */
+        /** The peer last reported versions that this node has since replaced. */
         BEHIND,
-        /** It was heard with versions that this node never held as a whole. */
+        /** The peer last reported a set of versions that this node never held. */
         DIFFERENT,
-        /** It was never heard. */
+        /** The peer has not reported its versions. */
         UNKNOWN
     }
 
-    /** Notes the digest of the own versions after a change. */
+    /** Records the digest of this node after a change. */
     public void onOwnDigest(long digest) {
         if (digest == ownDigest) {
             return;
         }
-        formerDigests.addFirst(ownDigest);
-        if (formerDigests.size() > FORMER_DIGESTS_KEPT) {
-            formerDigests.removeLast();
+        previousDigests.addFirst(ownDigest);
+        if (previousDigests.size() > PREVIOUS_DIGESTS_KEPT) {
+            previousDigests.removeLast();
         }
         ownDigest = digest;
     }
 
-    /** Notes a peer's digest. */
+    /** Records a peer's digest. */
     public void onPeerDigest(NodeId peer, long digest) {
         digests.put(peer, digest);
     }
 
-    /** Forgets a peer that died or left. */
+    /** Removes a peer that died or left. */
     public void forget(NodeId peer) {
         digests.remove(peer);
     }
 
-    /** How the peer stood when it was last heard. */
-    public Standing statusOf(NodeId peer) {
+    /** Compares the peer's last digest to that of this node. */
+    public VersionStatus statusOf(NodeId peer) {
         Long digest = digests.get(peer);
         if (digest == null) {
-            return Standing.UNKNOWN;
+            return VersionStatus.UNKNOWN;
         }
         if (digest == ownDigest) {
-            return Standing.SAME;
+            return VersionStatus.SAME;
         }
-        return formerDigests.contains(digest) ? Standing.BEHIND : Standing.DIFFERENT;
+        return previousDigests.contains(digest) ? VersionStatus.BEHIND : VersionStatus.DIFFERENT;
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/configuration/ServiceMatcher.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/ServiceMatcher.java
@@ -14,8 +14,8 @@
  * MatchedRule rule = service.findRule("GET", "/visits/7");
  * }</pre>
  *
- * <p>Invariant: matching makes no objects. A prefix covers itself and what follows it after a
- * slash. Immutable and thread-safe: a change of configuration makes a new matcher.
+ * <p>Invariant: matching allocates no objects. A prefix covers itself and everything that follows
+ * it after a slash. Immutable and thread-safe: a configuration change creates a new matcher.
  */
 public final class ServiceMatcher {
     private final ServiceIndex tables;
@@ -24,7 +24,9 @@
         this.tables = tables;
     }
 
-    /** A matcher of all services that are not deleted; the first in order of name keeps a clash. */
+    /**
+     * Returns a matcher of all services that are not deleted; on a conflict the first by name wins.
+     */
     public static ServiceMatcher of(Collection<VersionedConfiguration> configurations) {
         Map<String, VersionedConfiguration> services = new HashMap<>();
         for (VersionedConfiguration configuration : configurations) {
@@ -36,7 +38,7 @@
     }
 
     /**
-     * The service of a request; null when none matches.
+     * Returns the service of a request; null if none matches.
      *
      * @param host value of the Host field, with or without port; may be null
      * @param path with or without a query
@@ -46,7 +48,7 @@
         return byHost != null ? byHost : tables.findByPath(path);
     }
 
-    /** The service of this name; null when there is none. */
+    /** Returns the service of this name; null if there is none. */
     public MatchedService findByName(String service) {
         return tables.findByName(service);
     }
--- a/core/src/main/java/org/damaskmoor/core/configuration/ServiceTable.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/ServiceTable.java
@@ -11,14 +11,14 @@
  * ServiceTableException} after the implementation's own timeout. Thread-safe.
  */
 public interface ServiceTable {
-    /** Reads one row; empty when there is none. */
+    /** Reads one row; empty if there is none. */
     CompletableFuture<Optional<Row>> read(ServiceName service);
 
     /** Reads all rows. */
     CompletableFuture<List<Row>> readAll();
 
     /**
-     * Writes a row if it still stands as expected.
+     * Writes a row if it is unchanged.
      *
      * @param expectedTag tag of the row as it was read; empty: there must be no row
      * @return whether it was written; false means that the condition did not hold
@@ -29,7 +29,7 @@
             VersionedConfiguration configuration);
 
     /**
-     * A row and the tag that a conditional write names.
+     * A row and the tag that a conditional write refers to.
      *
      * @param configuration the content
      * @param tag changes with each write
--- a/core/src/main/java/org/damaskmoor/core/configuration/ServiceTableException.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/ServiceTableException.java
@@ -1,17 +1,17 @@
 package org.damaskmoor.core.configuration;
 
-/** The platform's table gave no answer. Immutable and thread-safe. */
+/** A call to the platform's table failed or was not answered. Immutable and thread-safe. */
 public final class ServiceTableException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
     private final boolean mayHaveTakenEffect;
 
     /**
-     * A failed call.
+     * Creates the exception for a failed call.
      *
-     * @param step what was tried, for example {@code compare-and-set}
+     * @param step the attempted operation, for example {@code compare-and-set}
      * @param peer address of the table service
-     * @param mayHaveTakenEffect false only when the call certainly never reached the table
+     * @param mayHaveTakenEffect false only if the call certainly never reached the table
      */
     public ServiceTableException(
             String step, String peer, boolean mayHaveTakenEffect, Throwable cause) {
@@ -19,7 +19,7 @@
         this.mayHaveTakenEffect = mayHaveTakenEffect;
     }
 
-    /** Whether the call may have changed the table all the same. */
+    /** Returns whether the call may have changed the table despite the failure. */
     public boolean mayHaveTakenEffect() {
         return mayHaveTakenEffect;
     }
--- a/core/src/main/java/org/damaskmoor/core/configuration/internal/AddressRange.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/internal/AddressRange.java
@@ -11,9 +11,9 @@
  * <p>Invariant: no bit beyond the prefix is set. Immutable and thread-safe.
  */
 public final class AddressRange {
-    private static final Pattern FOUR_NUMBERS = Pattern.compile("(\\d{1,3}\\.){3}\\d{1,3}");
-    private static final Pattern HEXADECIMAL = Pattern.compile("[0-9a-fA-F:.]*:[0-9a-fA-F:.]*");
-    private static final Pattern LENGTH = Pattern.compile("\\d{1,3}");
+    private static final Pattern IPV4 = Pattern.compile("(\\d{1,3}\\.){3}\\d{1,3}");
+    private static final Pattern IPV6 = Pattern.compile("[0-9a-fA-F:.]*:[0-9a-fA-F:.]*");
+    private static final Pattern PREFIX_LENGTH = Pattern.compile("\\d{1,3}");
     private static final int IPV4_BYTES = 4;
     private static final int MAPPED_PREFIX_BYTES = 12;
 
@@ -25,21 +25,21 @@
         this.bits = bits;
     }
 
-    /** Reads a range; empty when it is malformed. Never looks a name up. */
+    /** Parses a range; empty if it is malformed. Never resolves a host name. */
     public static Optional<AddressRange> parse(String text) {
         int slash = text.indexOf('/');
-        if (slash < 0 || !LENGTH.matcher(text.substring(slash + 1)).matches()) {
+        if (slash < 0 || !PREFIX_LENGTH.matcher(text.substring(slash + 1)).matches()) {
             return Optional.empty();
         }
         int bits = Integer.parseInt(text.substring(slash + 1));
         return parseAddress(text.substring(0, slash))
                 .filter(address -> bits <= address.length * Byte.SIZE)
-                .filter(address -> hasNoBitBeyond(address, bits))
+                .filter(address -> hasNoHostBits(address, bits))
                 .map(address -> new AddressRange(address, bits));
     }
 
     private static Optional<byte[]> parseAddress(String text) {
-        if (!FOUR_NUMBERS.matcher(text).matches() && !HEXADECIMAL.matcher(text).matches()) {
+        if (!IPV4.matcher(text).matches() && !IPV6.matcher(text).matches()) {
             return Optional.empty();
         }
         try {
@@ -52,7 +52,7 @@
         return Optional.empty();
     }
 
-    private static boolean hasNoBitBeyond(byte[] address, int bits) {
+    private static boolean hasNoHostBits(byte[] address, int bits) {
         for (int bit = bits; bit < address.length * Byte.SIZE; bit++) {
             if (bitOf(address, bit) != 0) {
                 return false;
@@ -65,7 +65,7 @@
         return (address[bit / Byte.SIZE] >> (Byte.SIZE - 1 - bit % Byte.SIZE)) & 1;
     }
 
-    /** Whether the address, 4 or 16 bytes long, lies in the range. */
+    /** Returns whether the address of 4 or 16 bytes is in the range. */
     public boolean contains(byte[] address) {
         int offset = 0;
         if (address.length != network.length) {
@@ -74,18 +74,20 @@
             }
             offset = MAPPED_PREFIX_BYTES;
         }
-        int whole = bits / Byte.SIZE;
-        for (int i = 0; i < whole; i++) {
+        int wholeBytes = bits / Byte.SIZE;
+        for (int i = 0; i < wholeBytes; i++) {
             if (address[offset + i] != network[i]) {
                 return false;
             }
         }
-        int rest = bits % Byte.SIZE;
-        return rest == 0
-                || ((address[offset + whole] ^ network[whole]) & (0xFF << (Byte.SIZE - rest))) == 0;
+        int remainingBits = bits % Byte.SIZE;
+        return remainingBits == 0
+                || ((address[offset + wholeBytes] ^ network[wholeBytes])
+                                & (0xFF << (Byte.SIZE - remainingBits)))
+                        == 0;
     }
 
-    /** Whether 16 bytes stand for an IPv4 address. */
+    /** Returns whether 16 bytes are an IPv4-mapped IPv6 address. */
     private static boolean isMapped(byte[] address) {
         for (int i = 0; i < MAPPED_PREFIX_BYTES - 2; i++) {
             if (address[i] != 0) {
--- a/core/src/main/java/org/damaskmoor/core/configuration/internal/CompiledService.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/internal/CompiledService.java
@@ -9,7 +9,9 @@
 import org.damaskmoor.schema.configuration.ServiceConfiguration;
 import org.damaskmoor.schema.configuration.VersionedConfiguration;
 
-/** A service whose rules are ready to be matched without allocation. Immutable and thread-safe. */
+/**
+ * A service whose rules are compiled for matching without allocation. Immutable and thread-safe.
+ */
 public final class CompiledService implements MatchedService {
     private static final String DEFAULT_CALLER_HEADER = "Damaskmoor-Caller";
     private static final String UNMATCHED_KIND = "unmatched";
@@ -20,11 +22,11 @@
     private final List<CompiledRule> rules;
     private final List<CallerRange> ranges;
 
-    private record CompiledRule(int methods, String prefix, MatchedRule treatment) {}
+    private record CompiledRule(int methods, String prefix, MatchedRule matched) {}
 
     private record CallerRange(AddressRange range, String caller) {}
 
-    /** Makes the rules ready; a range that cannot be read is left out. */
+    /** Compiles the rules; an address range that cannot be parsed is skipped. */
     public CompiledService(VersionedConfiguration versioned) {
         this.versioned = versioned;
         ServiceConfiguration service = versioned.getService();
@@ -37,7 +39,7 @@
     }
 
     private static CompiledRule compile(RequestRule rule) {
-        MatchedRule treatment =
+        MatchedRule matched =
                 new MatchedRule(
                         rule.getName(),
                         rule.getKind().isEmpty() ? rule.getName() : rule.getKind(),
@@ -48,7 +50,7 @@
                         rule.getTimeoutMilliseconds(),
                         Set.copyOf(rule.getAllowedCallersList()));
         return new CompiledRule(
-                HttpMethods.maskOf(rule.getMethodsList()), rule.getPathPrefix(), treatment);
+                HttpMethods.maskOf(rule.getMethodsList()), rule.getPathPrefix(), matched);
     }
 
     private static CallerRange compile(CallerAddressRange range) {
@@ -88,7 +90,7 @@
             CompiledRule rule = rules.get(i);
             boolean methodMatches = rule.methods == -1 || (rule.methods & bit) != 0;
             if (methodMatches && PathPrefixes.covers(rule.prefix, path)) {
-                return rule.treatment;
+                return rule.matched;
             }
         }
         return HttpMethods.isIdempotent(method) ? UNMATCHED_IDEMPOTENT : UNMATCHED_NON_IDEMPOTENT;
--- a/core/src/main/java/org/damaskmoor/core/configuration/internal/ConfigurationRows.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/internal/ConfigurationRows.java
@@ -5,13 +5,13 @@
 import org.damaskmoor.schema.configuration.ServiceConfiguration;
 import org.damaskmoor.schema.configuration.VersionedConfiguration;
 
-/** Makes the row of a change and finds a change in a row. Without state, so thread-safe. */
+/** Builds the row of a change and finds earlier changes in a row. Stateless and thread-safe. */
 public final class ConfigurationRows {
     private static final int EARLIER_CHANGES_KEPT = 16;
 
     private ConfigurationRows() {}
 
-    /** The version that an operation got; 0 when the row does not know the operation. */
+    /** Returns the version that an operation wrote; 0 if the row does not list the operation. */
     public static long versionOf(VersionedConfiguration row, String operationId) {
         if (row.getVersion() > 0 && row.getOperationId().equals(operationId)) {
             return row.getVersion();
@@ -24,7 +24,7 @@
         return 0;
     }
 
-    /** Whether the row is the one that the operator saw. */
+    /** Returns whether the row has the version that the operator expects. */
     public static boolean isExpected(VersionedConfiguration row, ChangeRequest request) {
         boolean absent = row.getVersion() == 0 || row.getDeleted();
         if (request.expectedVersion() == 0) {
@@ -33,7 +33,7 @@
         return row.getVersion() == request.expectedVersion() && !(absent && request.deletion());
     }
 
-    /** The row that the change writes over the given one. */
+    /** Returns the row with which the change replaces the given one. */
     public static VersionedConfiguration nextRow(
             VersionedConfiguration row, ChangeRequest request) {
         VersionedConfiguration.Builder next =
--- a/core/src/main/java/org/damaskmoor/core/configuration/internal/HostNames.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/internal/HostNames.java
@@ -2,16 +2,18 @@
 
 import java.util.Locale;
 
-/** Host fields without port, in lower case. Without state, so thread-safe. */
+/** Normalises host names in Host fields. Stateless and thread-safe. */
 public final class HostNames {
     private HostNames() {}
 
-    /** The form in which hosts are compared; keeps a port, which the validator refuses. */
+    /**
+     * Returns the form in which hosts are compared; a port is kept, and rejected by the validator.
+     */
     public static String normalise(String host) {
         return host.toLowerCase(Locale.ROOT);
     }
 
-    /** Where the host ends in a Host field: before the port. */
+    /** Returns the index at which the host ends in a Host field: before the port. */
     static int endOf(String field) {
         int bracket = field.startsWith("[") ? field.indexOf(']') : -1;
         if (bracket > 0) {
--- a/core/src/main/java/org/damaskmoor/core/configuration/internal/HttpMethods.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/internal/HttpMethods.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** HTTP methods as bits of a mask. Without state, so thread-safe. */
+/** HTTP methods as bits of a mask. Stateless and thread-safe. */
 public final class HttpMethods {
     /** All methods that rules may name. */
     public static final List<String> KNOWN =
@@ -13,18 +13,18 @@
 
     private HttpMethods() {}
 
-    /** Whether rules may name it. */
+    /** Returns whether rules may name the method. */
     public static boolean isKnown(String method) {
         return KNOWN.contains(method);
     }
 
-    /** The bit of a method; 0 when it is unknown. */
+    /** Returns the bit of a method; 0 if it is unknown. */
     static int bitOf(String method) {
         int index = KNOWN.indexOf(method);
         return index < 0 ? 0 : 1 << index;
     }
 
-    /** The mask of a rule's methods; all bits when it names none. */
+    /** Returns the mask of a rule's methods; all bits if it names none. */
     static int maskOf(List<String> methods) {
         int mask = 0;
         for (String method : methods) {
@@ -33,7 +33,7 @@
         return methods.isEmpty() ? -1 : mask;
     }
 
-    /** Whether a request that no rule matches is idempotent. */
+    /** Returns whether a request with this method is idempotent if no rule matches it. */
     static boolean isIdempotent(String method) {
         return (bitOf(method) & IDEMPOTENT) != 0;
     }
--- a/core/src/main/java/org/damaskmoor/core/configuration/internal/PathPrefixes.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/internal/PathPrefixes.java
@@ -1,16 +1,16 @@
 package org.damaskmoor.core.configuration.internal;
 
-/** What a path prefix covers: itself and what follows it after a slash. Thread-safe. */
+/** Matches path prefixes: a prefix covers itself and what follows it after a slash. Thread-safe. */
 final class PathPrefixes {
     private PathPrefixes() {}
 
-    /** Where the path ends: before the query. */
+    /** Returns the index at which the path ends: before the query. */
     static int endOf(String path) {
         int query = path.indexOf('?');
         return query < 0 ? path.length() : query;
     }
 
-    /** Whether a prefix that is {@code length} characters long may end there. */
+    /** Returns whether a covering prefix may end after {@code length} characters of the path. */
     static boolean isBoundary(String path, int length, int end) {
         return length == 0
                 || length == end
--- a/core/src/main/java/org/damaskmoor/core/configuration/internal/ServiceIndex.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/internal/ServiceIndex.java
@@ -6,13 +6,13 @@
 import org.damaskmoor.core.configuration.MatchedService;
 import org.damaskmoor.schema.configuration.VersionedConfiguration;
 
-/** Services by host, by path prefix and by name. Immutable and thread-safe. */
+/** Index of services by host, by path prefix and by name. Immutable and thread-safe. */
 public final class ServiceIndex {
     private final SubstringMap<MatchedService> byHost;
     private final SubstringMap<MatchedService> byPrefix;
     private final Map<String, MatchedService> byName;
 
-    /** Tables of these services, by name. */
+    /** Builds the index; the keys of {@code services} are their names. */
     public ServiceIndex(Map<String, VersionedConfiguration> services) {
         Map<String, MatchedService> names = new HashMap<>();
         Map<String, MatchedService> hosts = new HashMap<>();
@@ -32,12 +32,12 @@
         this.byPrefix = new SubstringMap<>(prefixes, false);
     }
 
-    /** The service that a Host field selects; null when none. */
+    /** Returns the service that a Host field selects; null if none. */
     public MatchedService findByHost(String host) {
         return byHost.find(host, HostNames.endOf(host));
     }
 
-    /** The service with the longest prefix that covers the path; null when none does. */
+    /** Returns the service with the longest prefix that covers the path; null if none does. */
     public MatchedService findByPath(String path) {
         int end = PathPrefixes.endOf(path);
         MatchedService longest = null;
@@ -52,7 +52,7 @@
         return longest;
     }
 
-    /** The service of this name; null when there is none. */
+    /** Returns the service of this name; null if there is none. */
     public MatchedService findByName(String service) {
         return byName.get(service);
     }
--- a/core/src/main/java/org/damaskmoor/core/configuration/internal/SubstringMap.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/internal/SubstringMap.java
@@ -3,9 +3,9 @@
 import java.util.Map;
 
 /**
- * Finds a value by a part of a string without making that part.
+ * Hash map with lookup by the first characters of a string, without allocating a substring.
  *
- * <p>Invariant: at most half of the places are taken. Immutable and thread-safe.
+ * <p>Invariant: at most half of the slots are used. Immutable and thread-safe.
  *
  * @param <V> the value
  */
@@ -23,12 +23,12 @@
     }
 
     private void put(String key, V value) {
-        int place = placeOf(hash(key, key.length()));
-        while (keys[place] != null) {
-            place = (place + 1) & (keys.length - 1);
+        int slot = slotOf(hash(key, key.length()));
+        while (keys[slot] != null) {
+            slot = (slot + 1) & (keys.length - 1);
         }
-        keys[place] = key;
-        values[place] = value;
+        keys[slot] = key;
+        values[slot] = value;
     }
 
     private int hash(String text, int end) {
@@ -39,7 +39,7 @@
         return hash;
     }
 
-    /** The hash of a text that is longer by one character. */
+    /** Returns the hash of a text extended by one character. */
     int extendHash(int hash, char character) {
         char folded =
                 ignoreCase && character >= 'A' && character <= 'Z'
@@ -48,25 +48,25 @@
         return hash * 31 + folded;
     }
 
-    private int placeOf(int hash) {
+    private int slotOf(int hash) {
         return (hash ^ (hash >>> 16)) & (keys.length - 1);
     }
 
-    /** The value for the first {@code end} characters; null when there is none. */
+    /** Returns the value for the first {@code end} characters; null if there is none. */
     V find(String text, int end) {
         return find(text, end, hash(text, end));
     }
 
-    /** As above, with the hash of those characters. */
+    /** Like {@link #find(String, int)}, with the hash of those characters. */
     @SuppressWarnings("unchecked")
     V find(String text, int end, int hash) {
-        int place = placeOf(hash);
-        while (keys[place] != null) {
-            String key = keys[place];
+        int slot = slotOf(hash);
+        while (keys[slot] != null) {
+            String key = keys[slot];
             if (key.length() == end && text.regionMatches(ignoreCase, 0, key, 0, end)) {
-                return (V) values[place];
+                return (V) values[slot];
             }
-            place = (place + 1) & (keys.length - 1);
+            slot = (slot + 1) & (keys.length - 1);
         }
         return null;
     }
--- a/core/src/test/java/org/damaskmoor/core/configuration/ConfigurationChangerTest.java
+++ b/core/src/test/java/org/damaskmoor/core/configuration/ConfigurationChangerTest.java
@@ -12,16 +12,16 @@
 import org.damaskmoor.core.configuration.ChangeOutcome.Invalid;
 import org.damaskmoor.core.configuration.ChangeOutcome.NotAccepted;
 import org.damaskmoor.core.configuration.ChangeOutcome.Unknown;
-import org.damaskmoor.core.configuration.FakeServiceTable.Fate;
+import org.damaskmoor.core.configuration.FakeServiceTable.CallOutcome;
 import org.damaskmoor.schema.configuration.ServiceConfiguration;
 import org.damaskmoor.schema.configuration.VersionedConfiguration;
 import org.junit.jupiter.api.Test;
 
 class ConfigurationChangerTest {
     private final FakeServiceTable table = new FakeServiceTable();
-    private final List<VersionedConfiguration> told = new ArrayList<>();
+    private final List<VersionedConfiguration> accepted = new ArrayList<>();
     private final ConfigurationChanger changer =
-            new ConfigurationChanger(table, new ConfigurationValidator(), told::add);
+            new ConfigurationChanger(table, new ConfigurationValidator(), accepted::add);
 
     private static ChangeRequest change(long expectedVersion, String operationId) {
         ServiceConfiguration service =
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void should_tell_the_loser_who_changed_it_when_two_operators_race() {
+    void should_return_the_winning_change_to_the_loser_when_two_operators_race() {
         // given
         apply(change(0, "first"));
         ChangeRequest winner = change(1, "winner");
@@ -58,13 +58,13 @@
         assertThat(inForce.getVersion()).isEqualTo(2);
         assertThat(inForce.getChangedBy()).isEqualTo("anna");
         assertThat(inForce.getOperationId()).isEqualTo("winner");
-        assertThat(told).hasSize(2);
+        assertThat(accepted).hasSize(2);
     }
 
     @Test
     void should_accept_once_when_the_answer_was_lost_after_the_effect() {
         // given
-        table.writeFates.add(Fate.LOST_AFTER_EFFECT);
+        table.writeOutcomes.add(CallOutcome.LOST_AFTER_EFFECT);
 
         // when
         ChangeOutcome outcome = apply(change(0, "first"));
@@ -79,10 +79,10 @@
     @Test
     void should_accept_when_another_change_followed_the_one_whose_answer_was_lost() {
         // given
-        table.writeFates.add(Fate.LOST_AFTER_EFFECT);
-        table.readFates.add(Fate.ANSWERED);
+        table.writeOutcomes.add(CallOutcome.LOST_AFTER_EFFECT);
+        table.readOutcomes.add(CallOutcome.ANSWERED);
         for (int i = 0; i < 3; i++) {
-            table.readFates.add(Fate.LOST_BEFORE_EFFECT);
+            table.readOutcomes.add(CallOutcome.LOST_BEFORE_EFFECT);
         }
         ChangeOutcome first = apply(change(0, "first"));
         apply(change(1, "second"));
@@ -97,10 +97,10 @@
     }
 
     @Test
-    void should_call_the_outcome_unknown_when_the_write_may_still_arrive() {
+    void should_report_unknown_when_the_write_may_still_arrive() {
         // given
         for (int i = 0; i < 4; i++) {
-            table.writeFates.add(Fate.DELAYED_PAST_ITS_FAILURE);
+            table.writeOutcomes.add(CallOutcome.DELAYED_PAST_ITS_FAILURE);
         }
 
         // when
@@ -115,9 +115,9 @@
     }
 
     @Test
-    void should_say_not_accepted_when_the_table_is_down() {
+    void should_report_not_accepted_when_the_table_is_down() {
         // given
-        table.fate = Fate.REFUSED;
+        table.defaultOutcome = CallOutcome.REFUSED;
 
         // when
         ChangeOutcome outcome = apply(change(0, "first"));
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void should_go_on_with_a_greater_version_when_a_deleted_service_is_created_again() {
+    void should_continue_the_version_numbers_when_a_deleted_service_is_created_again() {
         // given
         apply(change(0, "first"));
         apply(deletion(1, "delete"));
@@ -141,7 +141,7 @@
     }
 
     @Test
-    void should_write_nothing_when_the_change_is_faulty() {
+    void should_write_nothing_when_the_change_is_invalid() {
         // when
         ChangeOutcome outcome = apply(change(0, "NOT A HOST"));
 
@@ -151,18 +151,19 @@
     }
 
     @Property(tries = 300, seed = "17")
-    void should_report_truthfully_when_calls_fail_in_any_order(@ForAll long seed) {
+    void should_report_the_actual_outcome_when_calls_fail_in_any_order(@ForAll long seed) {
         // given
         Random random = new Random(seed);
         FakeServiceTable faulty = new FakeServiceTable();
         ConfigurationChanger any =
-                new ConfigurationChanger(faulty, new ConfigurationValidator(), told::add);
-        Fate[] fates = Fate.values();
+                new ConfigurationChanger(faulty, new ConfigurationValidator(), accepted::add);
+        CallOutcome[] outcomes = CallOutcome.values();
 
         for (int i = 0; i < 8; i++) {
             for (int j = 0; j < 6; j++) {
-                faulty.writeFates.add(fates[random.nextInt(fates.length)]);
-                faulty.readFates.add(random.nextBoolean() ? Fate.ANSWERED : Fate.REFUSED);
+                faulty.writeOutcomes.add(outcomes[random.nextInt(outcomes.length)]);
+                faulty.readOutcomes.add(
+                        random.nextBoolean() ? CallOutcome.ANSWERED : CallOutcome.REFUSED);
             }
             ServiceTable.Row before = faulty.rows.get("besuch");
             long expected = before == null ? 0 : before.configuration().getVersion();
--- a/core/src/test/java/org/damaskmoor/core/configuration/ConfigurationPropagationTest.java
+++ b/core/src/test/java/org/damaskmoor/core/configuration/ConfigurationPropagationTest.java
@@ -9,8 +9,8 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
-import org.damaskmoor.core.configuration.FakeServiceTable.Fate;
-import org.damaskmoor.core.configuration.PeerConfigurationTracker.Standing;
+import org.damaskmoor.core.configuration.FakeServiceTable.CallOutcome;
+import org.damaskmoor.core.configuration.PeerConfigurationTracker.VersionStatus;
 import org.damaskmoor.core.configuration.ServiceTable.Row;
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.schema.configuration.ServiceConfiguration;
@@ -25,12 +25,12 @@
 
     private final FakeServiceTable table = new FakeServiceTable();
     private final List<String> requests = new ArrayList<>();
-    private final ConfigurationStore store = new ConfigurationStore(taken -> {});
+    private final ConfigurationStore store = new ConfigurationStore(accepted -> {});
     private final ConfigurationRequester requester =
             (peer, services) -> requests.add(peer + services.toString());
     private final ConfigurationPuller puller =
             new ConfigurationPuller(store, requester, table, Runnable::run);
-    private final ConfigurationBootstrap start =
+    private final ConfigurationBootstrap bootstrap =
             new ConfigurationBootstrap(store, requester, table, Runnable::run);
 
     private static VersionedConfiguration configuration(String service, long version) {
@@ -51,19 +51,19 @@
     }
 
     @Property(tries = 200, seed = "5")
-    void should_never_step_back_when_versions_come_in_any_order(
+    void should_never_decrease_a_version_when_versions_arrive_in_any_order(
             @ForAll @Size(max = 30) List<@IntRange(min = 1, max = 9) Integer> versions) {
         // given
-        ConfigurationStore any = new ConfigurationStore(taken -> {});
-        ConfigurationStore direct = new ConfigurationStore(taken -> {});
+        ConfigurationStore any = new ConfigurationStore(accepted -> {});
+        ConfigurationStore direct = new ConfigurationStore(accepted -> {});
         long newest = 0;
 
         for (int next : versions) {
             // when
-            boolean taken = any.accept(configuration("besuch", next));
+            boolean accepted = any.accept(configuration("besuch", next));
 
             // then
-            assertThat(taken).isEqualTo(next > newest);
+            assertThat(accepted).isEqualTo(next > newest);
             newest = Math.max(newest, next);
             assertThat(any.versionOf("besuch")).isEqualTo(newest);
         }
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void should_ask_the_next_peer_and_then_the_table_when_peers_stay_silent() {
+    void should_ask_the_next_peer_and_then_the_table_when_peers_do_not_answer() {
         // given
         puller.onVersionAnnounced(PEER, version("besuch", 4));
         puller.onVersionAnnounced(OTHER, version("besuch", 4));
@@ -93,73 +93,73 @@
     }
 
     @Test
-    void should_serve_what_a_peer_gives_when_the_table_is_down_at_the_start() {
+    void should_use_the_configurations_of_peers_when_the_table_is_down_at_start() {
         // given
-        table.fate = Fate.REFUSED;
+        table.defaultOutcome = CallOutcome.REFUSED;
 
         // when
-        start.requestAll(List.of(PEER, OTHER), 0);
+        bootstrap.requestAll(List.of(PEER, OTHER), 0);
         puller.onAnswer(PEER, answer("besuch", 4));
-        start.onAnswer(PEER);
+        bootstrap.onAnswer(PEER);
 
         // then
-        assertThat(start.isReady(10)).isFalse();
+        assertThat(bootstrap.isReady(10)).isFalse();
         puller.onAnswer(OTHER, answer("besuch", 5));
-        start.onAnswer(OTHER);
-        assertThat(start.isReady(20)).isTrue();
+        bootstrap.onAnswer(OTHER);
+        assertThat(bootstrap.isReady(20)).isTrue();
         assertThat(store.versionOf("besuch")).isEqualTo(5);
     }
 
     @Test
     void should_not_be_ready_when_neither_a_peer_nor_the_table_answered() {
         // given
-        table.fate = Fate.REFUSED;
+        table.defaultOutcome = CallOutcome.REFUSED;
 
         // when
-        start.requestAll(List.of(), 0);
-        start.tick(List.of(), 0.5, 60_000);
+        bootstrap.requestAll(List.of(), 0);
+        bootstrap.tick(List.of(), 0.5, 60_000);
 
         // then
-        assertThat(start.isReady(60_000)).isFalse();
+        assertThat(bootstrap.isReady(60_000)).isFalse();
     }
 
     @Test
-    void should_find_a_change_that_nobody_told_when_it_is_the_nodes_turn_to_read() {
+    void should_find_an_unannounced_change_when_a_table_read_is_due() {
         // given
-        start.requestAll(List.of(), 0);
-        start.tick(List.of(), 0.5, 0);
+        bootstrap.requestAll(List.of(), 0);
+        bootstrap.tick(List.of(), 0.5, 0);
         table.rows.put("besuch", new Row(configuration("besuch", 1), "tag"));
 
         // when
-        start.tick(List.of(), 0.5, 6_000);
+        bootstrap.tick(List.of(), 0.5, 6_000);
 
         // then
         assertThat(store.versionOf("besuch")).isEqualTo(1);
     }
 
     @Test
-    void should_tell_all_versions_when_a_peer_stays_different() {
+    void should_send_all_versions_when_the_digest_of_a_peer_keeps_differing() {
         // given
-        List<ConfigurationVersion> told = new ArrayList<>();
+        List<ConfigurationVersion> sent = new ArrayList<>();
         PeerConfigurationTracker peers = new PeerConfigurationTracker();
         ConfigurationGossip gossip =
                 new ConfigurationGossip(
-                        store, puller, peers, (peer, all) -> told.addAll(all), record -> false);
+                        store, puller, peers, (peer, all) -> sent.addAll(all), record -> false);
         store.accept(configuration("besuch", 1));
-        long former = store.digest();
-        gossip.onConfigurationDigest(PEER, former, 0);
+        long previous = store.digest();
+        gossip.onConfigurationDigest(PEER, previous, 0);
         store.accept(configuration("register", 1));
 
         // when
-        gossip.onConfigurationDigest(PEER, former, 100);
-        int toldAtOnce = told.size();
-        gossip.onConfigurationDigest(PEER, former, 3_000);
-        gossip.onConfigurationDigest(PEER, former, 3_100);
+        gossip.onConfigurationDigest(PEER, previous, 100);
+        int sentBeforeStable = sent.size();
+        gossip.onConfigurationDigest(PEER, previous, 3_000);
+        gossip.onConfigurationDigest(PEER, previous, 3_100);
 
         // then
-        assertThat(toldAtOnce).isEqualTo(0);
-        assertThat(told).hasSize(2);
-        assertThat(peers.statusOf(PEER)).isEqualTo(Standing.BEHIND);
-        assertThat(peers.statusOf(OTHER)).isEqualTo(Standing.UNKNOWN);
+        assertThat(sentBeforeStable).isEqualTo(0);
+        assertThat(sent).hasSize(2);
+        assertThat(peers.statusOf(PEER)).isEqualTo(VersionStatus.BEHIND);
+        assertThat(peers.statusOf(OTHER)).isEqualTo(VersionStatus.UNKNOWN);
     }
 }
--- a/core/src/test/java/org/damaskmoor/core/configuration/ConfigurationValidatorTest.java
+++ b/core/src/test/java/org/damaskmoor/core/configuration/ConfigurationValidatorTest.java
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void should_list_every_fault_with_its_field_when_there_are_many() {
+    void should_list_every_fault_with_its_field_when_there_are_several() {
         // given
         ServiceConfiguration service = faultyService();
 
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void should_find_no_fault_when_all_is_well() {
+    void should_find_no_fault_when_the_configuration_is_valid() {
         // given
         ServiceConfiguration service =
                 ServiceConfiguration.newBuilder()
--- a/core/src/test/java/org/damaskmoor/core/configuration/FakeServiceTable.java
+++ b/core/src/test/java/org/damaskmoor/core/configuration/FakeServiceTable.java
@@ -12,10 +12,10 @@
 import org.damaskmoor.core.id.ServiceName;
 import org.damaskmoor.schema.configuration.VersionedConfiguration;
 
-/** A table in memory whose next calls can be made to fail. */
+/** In-memory table whose next calls can be made to fail. */
 final class FakeServiceTable implements ServiceTable {
-    /** What happens to one call. */
-    enum Fate {
+    /** The outcome of one call. */
+    enum CallOutcome {
         ANSWERED,
         REFUSED,
         LOST_BEFORE_EFFECT,
@@ -24,22 +24,22 @@
     }
 
     final Map<String, Row> rows = new TreeMap<>();
-    final Deque<Fate> writeFates = new ArrayDeque<>();
-    final Deque<Fate> readFates = new ArrayDeque<>();
+    final Deque<CallOutcome> writeOutcomes = new ArrayDeque<>();
+    final Deque<CallOutcome> readOutcomes = new ArrayDeque<>();
     final List<Runnable> delayedWrites = new ArrayList<>();
     Runnable beforeNextWrite = () -> {};
-    Fate fate = Fate.ANSWERED;
+    CallOutcome defaultOutcome = CallOutcome.ANSWERED;
     final List<Object> answered = new ArrayList<>();
     int writes;
 
     @Override
     public CompletableFuture<Optional<Row>> read(ServiceName service) {
-        return carryOut(next(readFates), () -> Optional.ofNullable(rows.get(service.value())));
+        return execute(next(readOutcomes), () -> Optional.ofNullable(rows.get(service.value())));
     }
 
     @Override
     public CompletableFuture<List<Row>> readAll() {
-        return carryOut(next(readFates), () -> List.copyOf(rows.values()));
+        return execute(next(readOutcomes), () -> List.copyOf(rows.values()));
     }
 
     @Override
@@ -50,24 +50,25 @@
         Runnable before = beforeNextWrite;
         beforeNextWrite = () -> {};
         before.run();
-        return carryOut(next(writeFates), () -> write(service.value(), expectedTag, configuration));
+        return execute(
+                next(writeOutcomes), () -> write(service.value(), expectedTag, configuration));
     }
 
     private boolean write(String key, Optional<String> tag, VersionedConfiguration configuration) {
-        Optional<String> standing = Optional.ofNullable(rows.get(key)).map(Row::tag);
-        if (!standing.equals(tag)) {
+        Optional<String> current = Optional.ofNullable(rows.get(key)).map(Row::tag);
+        if (!current.equals(tag)) {
             return false;
         }
         rows.put(key, new Row(configuration, "tag-" + ++writes));
         return true;
     }
 
-    private Fate next(Deque<Fate> fates) {
-        return fates.isEmpty() ? fate : fates.removeFirst();
+    private CallOutcome next(Deque<CallOutcome> outcomes) {
+        return outcomes.isEmpty() ? defaultOutcome : outcomes.removeFirst();
     }
 
-    private <T> CompletableFuture<T> carryOut(Fate how, Supplier<T> effect) {
-        return switch (how) {
+    private <T> CompletableFuture<T> execute(CallOutcome outcome, Supplier<T> effect) {
+        return switch (outcome) {
             case ANSWERED -> CompletableFuture.completedFuture(effect.get());
             case REFUSED -> fail(false);
             case LOST_BEFORE_EFFECT -> fail(true);
--- a/core/src/test/java/org/damaskmoor/core/configuration/ServiceMatcherTest.java
+++ b/core/src/test/java/org/damaskmoor/core/configuration/ServiceMatcherTest.java
@@ -21,7 +21,7 @@
     private static final String[] METHODS = {"GET", "POST", "PATCH", "PUT", "BREW"};
 
     @Property(tries = 400, seed = "23")
-    void should_match_as_the_naive_version_does(@ForAll long seed) {
+    void should_match_as_the_reference_implementation_does(@ForAll long seed) {
         // given
         Random random = new Random(seed);
         List<VersionedConfiguration> services = new ArrayList<>();
@@ -39,13 +39,13 @@
             MatchedService found = matcher.find(host, path);
 
             // then
-            ServiceConfiguration expected = naiveService(services, host, path);
+            ServiceConfiguration expected = referenceService(services, host, path);
             assertThat(found == null ? "" : found.name()).isEqualTo(expected.getName());
             if (found != null) {
                 MatchedRule rule = found.findRule(method, path);
-                RequestRule naive = naiveRule(expected, method, path);
-                assertThat(rule.name()).isEqualTo(naive.getName());
-                assertThat(rule.nonIdempotent()).isEqualTo(naive.getNonIdempotent());
+                RequestRule reference = referenceRule(expected, method, path);
+                assertThat(rule.name()).isEqualTo(reference.getName());
+                assertThat(rule.nonIdempotent()).isEqualTo(reference.getNonIdempotent());
             }
         }
     }
@@ -79,20 +79,20 @@
         return VersionedConfiguration.newBuilder().setService(service).setVersion(1).build();
     }
 
-    private static ServiceConfiguration naiveService(
+    private static ServiceConfiguration referenceService(
             List<VersionedConfiguration> services, String field, String path) {
         String host = field.replaceAll(":80$", "").toLowerCase(Locale.ROOT);
-        for (VersionedConfiguration each : services) {
-            if (each.getService().getHostsList().contains(host)) {
-                return each.getService();
+        for (VersionedConfiguration candidate : services) {
+            if (candidate.getService().getHostsList().contains(host)) {
+                return candidate.getService();
             }
         }
         ServiceConfiguration best = ServiceConfiguration.getDefaultInstance();
         int longest = -1;
-        for (VersionedConfiguration each : services) {
-            for (String prefix : each.getService().getPathPrefixesList()) {
-                if (naiveCovers(prefix, path) && prefix.length() > longest) {
-                    best = each.getService();
+        for (VersionedConfiguration candidate : services) {
+            for (String prefix : candidate.getService().getPathPrefixesList()) {
+                if (referenceCovers(prefix, path) && prefix.length() > longest) {
+                    best = candidate.getService();
                     longest = prefix.length();
                 }
             }
@@ -100,17 +100,18 @@
         return best;
     }
 
-    private static boolean naiveCovers(String prefix, String pathAndQuery) {
+    private static boolean referenceCovers(String prefix, String pathAndQuery) {
         String path = pathAndQuery.replaceAll("\\?.*", "");
         String withSlash = prefix.endsWith("/") || prefix.isEmpty() ? prefix : prefix + "/";
         return path.equals(prefix) || path.startsWith(withSlash);
     }
 
-    private static RequestRule naiveRule(ServiceConfiguration service, String method, String path) {
+    private static RequestRule referenceRule(
+            ServiceConfiguration service, String method, String path) {
         for (RequestRule rule : service.getRulesList()) {
             boolean methodMatches =
                     rule.getMethodsCount() == 0 || rule.getMethodsList().contains(method);
-            if (methodMatches && naiveCovers(rule.getPathPrefix(), path)) {
+            if (methodMatches && referenceCovers(rule.getPathPrefix(), path)) {
                 return rule;
             }
         }
@@ -119,7 +120,7 @@
     }
 
     @Test
-    void should_name_the_caller_by_header_then_by_range_when_it_identifies_itself() {
+    void should_identify_the_caller_by_header_and_then_by_address_range() {
         // given
         CallerIdentification identification =
                 CallerIdentification.newBuilder()
@@ -141,14 +142,14 @@
 
         // then
         byte[] inRange = {10, 1, 127, 9};
-        byte[] beyond = {10, 1, -128, 9};
-        byte[] mapped = {0, 0, 0, 0, 0, 0, 0, 0, 0, 0, -1, -1, 10, 1, 0, 1};
-        byte[] sixth = {0x20, 1, 0x0d, (byte) 0xb8, 0x7f, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1};
+        byte[] outOfRange = {10, 1, -128, 9};
+        byte[] ipv4MappedInRange = {0, 0, 0, 0, 0, 0, 0, 0, 0, 0, -1, -1, 10, 1, 0, 1};
+        byte[] ipv6InRange = {0x20, 1, 0x0d, (byte) 0xb8, 0x7f, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1};
         assertThat(matched.callerOf("anna", inRange)).isEqualTo("anna");
         assertThat(matched.callerOf(null, inRange)).isEqualTo("crew");
-        assertThat(matched.callerOf("", mapped)).isEqualTo("crew");
-        assertThat(matched.callerOf(null, sixth)).isEqualTo("staff");
-        assertThat(matched.callerOf(null, beyond)).isEqualTo("unidentified");
+        assertThat(matched.callerOf("", ipv4MappedInRange)).isEqualTo("crew");
+        assertThat(matched.callerOf(null, ipv6InRange)).isEqualTo("staff");
+        assertThat(matched.callerOf(null, outOfRange)).isEqualTo("unidentified");
         assertThat(matched.findRule("GET", "/").allows("crew")).isTrue();
         assertThat(matched.findRule("GET", "/").allows("anna")).isFalse();
     }
--- a/node/src/main/java/org/damaskmoor/node/internal/operator/StatusHandler.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/operator/StatusHandler.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import org.damaskmoor.core.configuration.PeerConfigurationTracker.Standing;
+import org.damaskmoor.core.configuration.PeerConfigurationTracker.VersionStatus;
 import org.damaskmoor.core.id.NodeId;
 import org.damaskmoor.core.id.RegionName;
 import org.damaskmoor.core.membership.MembershipProtocol;
@@ -82,9 +82,9 @@
 
     private NodeStatus nodeStatus(MemberRecord member) {
         boolean self = member.getNodeId().equals(membership.self().getNodeId());
-        Standing standing =
+        VersionStatus versionStatus =
                 self
-                        ? Standing.SAME
+                        ? VersionStatus.SAME
                         : configuration.peers().statusOf(new NodeId(member.getNodeId()));
         NodeStatus.Builder status =
                 NodeStatus.newBuilder()
@@ -94,8 +94,8 @@
                         .setService(member.getService())
                         .setMemberState(memberState(member))
                         .setUpstreamState(upstreamState(member))
-                        .setBehind(standing == Standing.BEHIND)
-                        .setConfiguration(lowerCase(standing));
+                        .setBehind(versionStatus == VersionStatus.BEHIND)
+                        .setConfiguration(lowerCase(versionStatus));
         if (self) {
             LoadReport load = ownLoad.get();
             status.setLoadKnown(true).setInFlight(load.getInFlight()).setLimit(load.getLimit());
