--- a/core/src/main/java/org/damaskmoor/core/hash/StableHash.java
+++ b/core/src/main/java/org/damaskmoor/core/hash/StableHash.java
@@ -1,7 +1,7 @@
 package org.damaskmoor.core.hash;
 
 /**
- * A 64-bit hash that is the same in every process and version, for keys that nodes must agree on.
+ * A 64-bit hash that is the same in every process and version, for keys on which nodes must agree.
  *
  * <p>FNV-1a over the bytes, followed by the finaliser of MurmurHash3 so that similar keys differ in
  * all bits. It is not a cryptographic hash. Stateless and thread-safe.
@@ -13,12 +13,15 @@
 
     private StableHash() {}
 
-    /** The hash of a text, over its UTF-16 units. */
+    /** Returns the hash of a text, computed over its UTF-16 code units. */
     public static long of(String text) {
         return mix(append(OFFSET_BASIS, text));
     }
 
-    /** The hash of a text and a body, in which no byte can move from the one to the other. */
+    /**
+     * Returns the hash of a text and a body, separated so that moving bytes between them changes
+     * it.
+     */
     public static long of(String text, byte[] body) {
         long hash = append(OFFSET_BASIS, text);
         hash = (hash ^ FIELD_SEPARATOR) * PRIME;
@@ -28,7 +31,7 @@
         return mix(hash ^ body.length);
     }
 
-    /** One hash of two, in which their order counts. */
+    /** Combines two hashes into one; their order matters. */
     public static long combine(long first, long second) {
         return mix(first * PRIME ^ second);
     }
--- a/core/src/main/java/org/damaskmoor/core/hash/package-info.java
+++ b/core/src/main/java/org/damaskmoor/core/hash/package-info.java
@@ -1,2 +1,2 @@
-/** Hashes that nodes must agree on, whatever their version. */
+/** Hashes on which nodes of all versions must agree. */
 package org.damaskmoor.core.hash;
--- a/core/src/main/java/org/damaskmoor/core/id/Incarnation.java
+++ b/core/src/main/java/org/damaskmoor/core/id/Incarnation.java
@@ -1,11 +1,12 @@
 package org.damaskmoor.core.id;
 
 /**
- * Number of one start of a node's process. A later start of the same node has a greater number.
+ * Number of one start of a node's process; it increases with each restart of the node.
  *
  * <p>Invariant: {@code value} is positive. Immutable and thread-safe.
  *
- * @param value the number; made from the wall clock at the start, in milliseconds since the epoch
+ * @param value the number, derived from the wall clock at the start, in milliseconds since the
+ *     epoch
  */
 public record Incarnation(long value) implements Comparable<Incarnation> {
     public Incarnation {
--- a/core/src/main/java/org/damaskmoor/core/id/NodeId.java
+++ b/core/src/main/java/org/damaskmoor/core/id/NodeId.java
@@ -3,11 +3,11 @@
 import java.util.Objects;
 
 /**
- * Name of a node, unique in the whole system and kept across restarts of its VM.
+ * Identifier of a node, unique in the whole system and kept across restarts of its VM.
  *
  * <p>Invariant: {@code value} is not empty. Immutable and thread-safe.
  *
- * @param value the name as it stands in the node's settings
+ * @param value the id from the node's settings
  */
 public record NodeId(String value) implements Comparable<NodeId> {
     public NodeId {
--- a/core/src/main/java/org/damaskmoor/core/id/RequestId.java
+++ b/core/src/main/java/org/damaskmoor/core/id/RequestId.java
@@ -3,12 +3,12 @@
 import java.util.Objects;
 
 /**
- * Names one request of a caller through all of its attempts.
+ * Identifies one request of a caller across all of its attempts.
  *
  * <p>Invariant: unique in the whole system, because an incarnation of a node uses each sequence
  * number once. Immutable and thread-safe.
  *
- * @param entryNode the node that took the request from its caller
+ * @param entryNode the node that received the request from its caller
  * @param entryIncarnation the incarnation of that node
  * @param sequence the number of the request within that incarnation
  */
--- a/core/src/main/java/org/damaskmoor/core/id/TargetId.java
+++ b/core/src/main/java/org/damaskmoor/core/id/TargetId.java
@@ -3,7 +3,8 @@
 import java.util.Objects;
 
 /**
- * Names one incarnation of a target node, so that news of a former one never counts for the next.
+ * Identifies one incarnation of a target node, so that messages about a previous incarnation are
+ * never applied to the current one.
  *
  * <p>Immutable and thread-safe.
  */
--- a/core/src/main/java/org/damaskmoor/core/lease/Lease.java
+++ b/core/src/main/java/org/damaskmoor/core/lease/Lease.java
@@ -7,23 +7,23 @@
 import org.damaskmoor.schema.accounting.LeaseRecord;
 
 /**
- * One candidate's side of a lease that lives in a row of the table service.
+ * One candidate's state of a lease that is stored in a row of the table service.
  *
  * <pre>{@code
- * switch on lease.next(now): Read, Write or Wait        // renews by itself
- * lease.beginGuardedWrite(now)                          // the row goes into the same transaction
+ * switch on lease.next(now): Read, Write or Wait        // renews when due
+ * lease.beginFencedWrite(now)                           // add the row to the transaction
  * }</pre>
  *
- * <p>No two clocks are compared. A holder counts its time from the instant that it sent the write
- * which was taken, less a margin; another candidate waits until it saw the row unchanged for the
- * whole time plus the margin. A holder that was paused may still believe in its lease for a moment,
- * so each write made in its name carries the lease's row, conditional on its tag: once another
- * holder took over, that write fails.
+ * <p>Clocks of different processes are never compared. A holder's lease runs from the time at which
+ * it sent the successful write, for the duration less a margin; another candidate waits until it
+ * has seen the row unchanged for the duration plus the margin. A holder that was paused may briefly
+ * act on an expired lease, so each write on its behalf includes the lease row, conditional on its
+ * tag, and fails once another holder has taken over.
  *
- * <p>Invariants: the fencing number grows by one with each holder and never goes back; one read or
- * write is in flight at most; each write differs from all before it, so that a delayed one is never
- * taken for a later one; a write that was not known to be taken never counts as held. Not
- * thread-safe.
+ * <p>Invariants: the fencing number increases by one with each holder and never decreases; at most
+ * one read or write is in flight; each write differs from all earlier ones, so that a delayed one
+ * is never mistaken for a later one; the lease counts as held only after a write that is known to
+ * have taken effect. Not thread-safe.
  */
 public final class Lease {
     private final String candidate;
@@ -38,16 +38,16 @@
     private long attempts;
     private long sentNanoseconds;
     private LeaseRow row;
-    private long seenSinceNanoseconds;
+    private long unchangedSinceNanoseconds;
     private boolean held;
     private long heldSinceNanoseconds;
 
     /**
-     * A candidate that does not know the row yet.
+     * Creates a candidate that has not read the row yet.
      *
      * @param candidate unique for each process start, for example node id and incarnation
      * @param durationNanoseconds time after which an unrenewed lease may be taken over
-     * @param marginNanoseconds most that two clocks may run apart within that time
+     * @param marginNanoseconds maximum drift between two clocks within that time
      */
     public Lease(String candidate, long durationNanoseconds, long marginNanoseconds) {
         this.candidate = Objects.requireNonNull(candidate, "candidate");
@@ -59,7 +59,7 @@
         this.marginNanoseconds = marginNanoseconds;
     }
 
-    /** What to do now. */
+    /** Returns the next step to perform. */
     public LeaseStep next(long nowNanoseconds) {
         if (inFlight) {
             return new LeaseStep.Wait();
@@ -67,11 +67,11 @@
         if (mustRead) {
             return readWhenDue(nowNanoseconds);
         }
-        if (isMine()) {
-            return keepOrRelease(nowNanoseconds);
+        if (isOwnLease()) {
+            return renewOrRelease(nowNanoseconds);
         }
         if (wanted && isFree(nowNanoseconds)) {
-            return write(nowNanoseconds, candidate, fencingNumberInForce() + 1);
+            return write(nowNanoseconds, candidate, currentFencingNumber() + 1);
         }
         mustRead = true;
         nextReadNanoseconds = nowNanoseconds + durationNanoseconds / 3;
@@ -86,7 +86,7 @@
         return new LeaseStep.Read();
     }
 
-    private LeaseStep keepOrRelease(long nowNanoseconds) {
+    private LeaseStep renewOrRelease(long nowNanoseconds) {
         if (!wanted) {
             return write(nowNanoseconds, "", row.lease().getFencingNumber());
         }
@@ -114,35 +114,38 @@
         return sent;
     }
 
-    /** The row as it was read; empty: it does not stand yet. */
+    /** The row was read; empty: it does not exist yet. */
     public void onRead(Optional<LeaseRow> found, long nowNanoseconds) {
         inFlight = false;
         mustRead = false;
         LeaseRow current = found.orElse(null);
         if (!Objects.equals(tagOf(current), tagOf(row)) || row == null) {
-            seenSinceNanoseconds = nowNanoseconds;
+            unchangedSinceNanoseconds = nowNanoseconds;
         }
         row = current;
         held = false;
-        if (sent != null && current != null && current.lease().equals(sent.lease()) && isMine()) {
-            hold();
+        if (sent != null
+                && current != null
+                && current.lease().equals(sent.lease())
+                && isOwnLease()) {
+            markHeld();
         }
         sent = null;
     }
 
-    /** The write that {@link #next} or {@link #beginFencedWrite} gave took effect. */
+    /** The write returned by {@link #next} or {@link #beginFencedWrite} took effect. */
     public void onWritten(String newTag) {
         inFlight = false;
         row = new LeaseRow(newTag, sent.lease());
         held = false;
-        seenSinceNanoseconds = sentNanoseconds;
-        if (isMine()) {
-            hold();
+        unchangedSinceNanoseconds = sentNanoseconds;
+        if (isOwnLease()) {
+            markHeld();
         }
         sent = null;
     }
 
-    /** The write took no effect: the row was changed by another. */
+    /** The write had no effect, because another candidate changed the row. */
     public void onConditionFailed(long nowNanoseconds) {
         inFlight = false;
         held = false;
@@ -151,7 +154,7 @@
         nextReadNanoseconds = nowNanoseconds;
     }
 
-    /** The read failed, or the write's answer was lost: the row is read back. */
+    /** The read failed, or the write's answer was lost: the row is read again. */
     public void onOutcomeUnknown(long nowNanoseconds) {
         inFlight = false;
         mustRead = true;
@@ -159,42 +162,46 @@
     }
 
     /**
-     * Starts a write in the holder's name. The result has to go into the same transaction as the
-     * data; it renews the lease too. Empty: not held now, or another call is in flight.
+     * Starts a write on the holder's behalf. The returned write must be part of the same
+     * transaction as the data; it also renews the lease. Empty: the lease is not held, or another
+     * call is in flight.
      */
     public Optional<LeaseStep.Write> beginFencedWrite(long nowNanoseconds) {
         boolean possible = isHeld(nowNanoseconds) && !inFlight && !mustRead;
         return possible ? Optional.of(renewal(nowNanoseconds)) : Optional.empty();
     }
 
-    /** Gives the lease back with the next step, so that another need not wait. */
+    /**
+     * Releases the lease with the next step, so that another candidate need not wait for its
+     * expiry.
+     */
     public void release() {
         wanted = false;
     }
 
-    /** Whether the candidate may believe that it holds the lease. */
+    /** Returns whether the candidate may act as the holder. */
     public boolean isHeld(long nowNanoseconds) {
         return held
                 && nowNanoseconds - heldSinceNanoseconds < durationNanoseconds - marginNanoseconds;
     }
 
-    /** The holder's fencing number; empty when the lease is not held. */
+    /** Returns the holder's fencing number; empty if the lease is not held. */
     public OptionalLong fencingNumber(long nowNanoseconds) {
         return isHeld(nowNanoseconds)
                 ? OptionalLong.of(row.lease().getFencingNumber())
                 : OptionalLong.empty();
     }
 
-    private void hold() {
+    private void markHeld() {
         held = true;
         heldSinceNanoseconds = sentNanoseconds;
     }
 
-    private boolean isMine() {
+    private boolean isOwnLease() {
         return row != null && row.lease().getHolder().equals(candidate);
     }
 
-    private long fencingNumberInForce() {
+    private long currentFencingNumber() {
         return row == null ? 0 : row.lease().getFencingNumber();
     }
 
@@ -203,7 +210,7 @@
             return true;
         }
         long granted = TimeUnit.MILLISECONDS.toNanos(row.lease().getDurationMilliseconds());
-        return nowNanoseconds - seenSinceNanoseconds >= granted + marginNanoseconds;
+        return nowNanoseconds - unchangedSinceNanoseconds >= granted + marginNanoseconds;
     }
 
     private static String tagOf(LeaseRow row) {
--- a/core/src/main/java/org/damaskmoor/core/lease/LeaseRow.java
+++ b/core/src/main/java/org/damaskmoor/core/lease/LeaseRow.java
@@ -7,7 +7,7 @@
  * State of a lease's row in the table service. Immutable and thread-safe.
  *
  * @param tag entity tag of this state
- * @param lease what the row holds
+ * @param lease content of the row
  */
 public record LeaseRow(String tag, LeaseRecord lease) {
     public LeaseRow {
--- a/core/src/main/java/org/damaskmoor/core/operator/OperatorTrailers.java
+++ b/core/src/main/java/org/damaskmoor/core/operator/OperatorTrailers.java
@@ -6,28 +6,30 @@
 import org.damaskmoor.schema.operator.Faults;
 
 /**
- * The trailers by which a node tells an operator's client why a call failed.
+ * The gRPC trailers with which a node tells an operator's client why a call failed.
  *
  * <pre>{@code
  * Conflict conflict = failure.getTrailers().get(OperatorTrailers.CONFLICT);
  * }</pre>
  *
- * <p>Without state, so thread-safe.
+ * <p>Stateless and thread-safe.
  */
 public final class OperatorTrailers {
-    /** Stands on FAILED_PRECONDITION: what is in force instead. */
+    /** Sent with FAILED_PRECONDITION: the configuration that is in force instead. */
     public static final Metadata.Key<Conflict> CONFLICT =
             Metadata.Key.of(
                     "damaskmoor-conflict-bin",
                     ProtoUtils.metadataMarshaller(Conflict.getDefaultInstance()));
 
-    /** Stands on INVALID_ARGUMENT: every fault. */
+    /** Sent with INVALID_ARGUMENT: every fault. */
     public static final Metadata.Key<Faults> FAULTS =
             Metadata.Key.of(
                     "damaskmoor-faults-bin",
                     ProtoUtils.metadataMarshaller(Faults.getDefaultInstance()));
 
-    /** Stands on UNAVAILABLE and UNKNOWN when the node itself says so, and not the transport. */
+    /**
+     * Sent with UNAVAILABLE and UNKNOWN if the status comes from the node, not from the transport.
+     */
     public static final Metadata.Key<String> OUTCOME =
             Metadata.Key.of("damaskmoor-outcome", Metadata.ASCII_STRING_MARSHALLER);
 
@@ -37,7 +39,7 @@
     /** Value of {@link #OUTCOME}: the change may have been written. */
     public static final String UNKNOWN = "unknown";
 
-    /** Longest metadata that a client should accept, so that all faults reach it. */
+    /** Metadata size that a client must accept in order to receive all faults. */
     public static final int METADATA_BYTES = 1024 * 1024;
 
     private OperatorTrailers() {}
--- a/core/src/main/java/org/damaskmoor/core/settings/SettingFault.java
+++ b/core/src/main/java/org/damaskmoor/core/settings/SettingFault.java
@@ -1,11 +1,11 @@
 package org.damaskmoor.core.settings;
 
 /**
- * One setting that cannot be used. Immutable and thread-safe.
+ * One setting with a missing or invalid value. Immutable and thread-safe.
  *
- * @param flag the flag, also when the value came from the environment
- * @param value the value given, empty when none was
- * @param allowed what is allowed
+ * @param flag the flag, also if the value came from the environment
+ * @param value the given value, empty if none was given
+ * @param allowed description of the allowed values
  */
 public record SettingFault(String flag, String value, String allowed) {
     @Override
--- a/core/src/main/java/org/damaskmoor/core/settings/SettingsException.java
+++ b/core/src/main/java/org/damaskmoor/core/settings/SettingsException.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** Settings with faults. The message names every fault on a line of its own. Immutable. */
+/** Thrown for invalid settings. The message lists every fault on its own line. Immutable. */
 public final class SettingsException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -14,7 +14,7 @@
         this.faults = List.copyOf(faults);
     }
 
-    /** Every fault, in the order of the schema. */
+    /** Returns every fault, in the order of the schema. */
     public List<SettingFault> faults() {
         return faults;
     }
--- a/core/src/main/java/org/damaskmoor/core/settings/SettingsReader.java
+++ b/core/src/main/java/org/damaskmoor/core/settings/SettingsReader.java
@@ -15,7 +15,8 @@
 
 /**
  * Reads a settings message from flags and environment variables and checks every value against its
- * schema. A flag goes before the environment variable, which goes before the default.
+ * schema. A flag takes precedence over the environment variable, which takes precedence over the
+ * default.
  *
  * <pre>{@code
  * NodeSettings settings =
@@ -30,7 +31,7 @@
     private SettingsReader() {}
 
     /**
-     * Reads and checks.
+     * Reads and validates a settings message.
      *
      * @param type any instance of the settings message
      * @param flags given flags, by name with dashes
@@ -52,7 +53,7 @@
         return (T) builder.build();
     }
 
-    /** The environment variable that stands for a flag of the settings message. */
+    /** Returns the environment variable that corresponds to a flag of the settings message. */
     public static String environmentVariable(Descriptor settings, String flag) {
         String prefix = settings.getOptions().getExtension(SettingsProto.environmentPrefix);
         return (prefix.isEmpty() ? ENVIRONMENT_PREFIX : prefix)
@@ -66,40 +67,41 @@
             Message.Builder builder) {
         Setting setting = field.getOptions().getExtension(SettingsProto.setting);
         String variable = environmentVariable(field.getContainingType(), setting.getFlag());
-        String given =
+        String value =
                 flags.getOrDefault(
                         setting.getFlag(),
                         environment.getOrDefault(variable, setting.getDefaultValue()));
-        if (given.isEmpty() && setting.getRequired()) {
-            return Optional.of(new SettingFault(setting.getFlag(), "", allowed(setting)));
+        if (value.isEmpty() && setting.getRequired()) {
+            return Optional.of(new SettingFault(setting.getFlag(), "", describeAllowed(setting)));
         }
-        if (given.isEmpty()) {
+        if (value.isEmpty()) {
             return Optional.empty();
         }
         if (field.getJavaType() == JavaType.STRING) {
-            return readText(field, setting, given, builder);
+            return readText(field, setting, value, builder);
         }
-        return readNumber(field, setting, given, builder);
+        return readNumber(field, setting, value, builder);
     }
 
     private static Optional<SettingFault> readText(
-            FieldDescriptor field, Setting setting, String given, Message.Builder builder) {
-        boolean listed = setting.getAllowedCount() == 0 || setting.getAllowedList().contains(given);
+            FieldDescriptor field, Setting setting, String value, Message.Builder builder) {
+        boolean inList = setting.getAllowedCount() == 0 || setting.getAllowedList().contains(value);
         boolean matches =
-                setting.getPattern().isEmpty() || Pattern.matches(setting.getPattern(), given);
-        if (!listed || !matches) {
-            return Optional.of(new SettingFault(setting.getFlag(), given, allowed(setting)));
+                setting.getPattern().isEmpty() || Pattern.matches(setting.getPattern(), value);
+        if (!inList || !matches) {
+            return Optional.of(
+                    new SettingFault(setting.getFlag(), value, describeAllowed(setting)));
         }
-        builder.setField(field, given);
+        builder.setField(field, value);
         return Optional.empty();
     }
 
     private static Optional<SettingFault> readNumber(
-            FieldDescriptor field, Setting setting, String given, Message.Builder builder) {
-        SettingFault fault = new SettingFault(setting.getFlag(), given, allowed(setting));
+            FieldDescriptor field, Setting setting, String value, Message.Builder builder) {
+        SettingFault fault = new SettingFault(setting.getFlag(), value, describeAllowed(setting));
         long number;
         try {
-            number = Long.parseLong(given);
+            number = Long.parseLong(value);
         } catch (NumberFormatException notANumber) {
             return Optional.of(fault);
         }
@@ -111,7 +113,7 @@
         return Optional.empty();
     }
 
-    private static String allowed(Setting setting) {
+    private static String describeAllowed(Setting setting) {
         if (setting.getAllowedCount() > 0) {
             return String.join(", ", setting.getAllowedList());
         }
--- a/core/src/main/java/org/damaskmoor/core/settings/TlsFiles.java
+++ b/core/src/main/java/org/damaskmoor/core/settings/TlsFiles.java
@@ -6,11 +6,11 @@
 import java.util.Optional;
 
 /**
- * The files that TLS is set up from: all three or none are set. Immutable and thread-safe.
+ * The files for the TLS configuration: either all three are set or none. Immutable and thread-safe.
  *
- * @param certificate PEM file with the own certificate
- * @param key PEM file with its key
- * @param authority PEM file with the authority whose certificates the other side must present
+ * @param certificate PEM file with the certificate of this process
+ * @param key PEM file with the private key of that certificate
+ * @param authority PEM file with the authority that must have signed the peer's certificate
  */
 public record TlsFiles(File certificate, File key, File authority) {
     private static final String CERTIFICATE_FLAG = "--tls-certificate-file";
@@ -20,8 +20,8 @@
     /**
      * Checks that all or none are set.
      *
-     * @return empty when none is set: no TLS
-     * @throws SettingsException naming each flag that is missing beside the others
+     * @return empty if none is set: no TLS
+     * @throws SettingsException naming each missing flag if only some are set
      */
     public static Optional<TlsFiles> of(String certificate, String key, String authority)
             throws SettingsException {
@@ -39,23 +39,23 @@
     }
 
     /**
-     * The fault of a file that a TLS library could not use.
+     * Returns the exception for a file that the TLS library could not use.
      *
-     * @param problem what the library said; names the file
+     * @param problem the failure reported by the library, whose message names the file
      */
     public SettingsException unusable(Exception problem) {
         String message = String.valueOf(problem.getMessage());
-        File named = certificate;
+        File file = certificate;
         String flag = CERTIFICATE_FLAG;
         if (message.contains(key.getPath())) {
-            named = key;
+            file = key;
             flag = KEY_FLAG;
         } else if (message.contains(authority.getPath())) {
-            named = authority;
+            file = authority;
             flag = AUTHORITY_FLAG;
         }
         String allowed = "a readable PEM file that fits the other two (" + message + ")";
-        return new SettingsException(List.of(new SettingFault(flag, named.getPath(), allowed)));
+        return new SettingsException(List.of(new SettingFault(flag, file.getPath(), allowed)));
     }
 
     private static void requireSet(String flag, String value, List<SettingFault> missing) {
--- a/core/src/test/java/org/damaskmoor/core/hash/StableHashTest.java
+++ b/core/src/test/java/org/damaskmoor/core/hash/StableHashTest.java
@@ -5,7 +5,9 @@
 import org.junit.jupiter.api.Test;
 
 class StableHashTest {
-    /** Values worked out apart from this code, so that no later version may change them. */
+    /**
+     * Expected values were computed independently of this code; no later version may change them.
+     */
     @Test
     void should_give_the_same_values_in_every_version() {
         // given
--- a/core/src/test/java/org/damaskmoor/core/lease/LeaseTest.java
+++ b/core/src/test/java/org/damaskmoor/core/lease/LeaseTest.java
@@ -16,10 +16,10 @@
     private static final long DURATION = 1_000_000_000;
     private static final long MARGIN = 100_000_000;
 
-    /** The row and the data that the holders write in its name. */
+    /** The lease row and the holders' fenced writes. */
     private static final class Table {
         private Optional<LeaseRow> row = Optional.empty();
-        private final List<Long> fencingNumbersOfWrites = new ArrayList<>();
+        private final List<Long> fencingNumbersWritten = new ArrayList<>();
         private long tags;
 
         boolean write(LeaseStep.Write write) {
@@ -31,12 +31,12 @@
             return true;
         }
 
-        boolean writeGuarded(LeaseStep.Write guard) {
-            boolean taken = write(guard);
-            if (taken) {
-                fencingNumbersOfWrites.add(guard.lease().getFencingNumber());
+        boolean writeFenced(LeaseStep.Write leaseWrite) {
+            boolean written = write(leaseWrite);
+            if (written) {
+                fencingNumbersWritten.add(leaseWrite.lease().getFencingNumber());
             }
-            return taken;
+            return written;
         }
     }
 
@@ -51,8 +51,8 @@
         }
     }
 
-    private static void answer(Lease lease, boolean taken, Table table, long now) {
-        if (taken) {
+    private static void answer(Lease lease, boolean written, Table table, long now) {
+        if (written) {
             lease.onWritten(table.row.orElseThrow().tag());
         } else {
             lease.onConditionFailed(now);
@@ -61,7 +61,7 @@
 
     @Test
     void should_refuse_the_write_of_a_holder_that_was_paused() {
-        // given: the first holder checks its lease and is paused before its write arrives
+        // given: the first holder is paused after it checked its lease, before its write arrives
         Table table = new Table();
         Lease paused = new Lease("node-a/1", DURATION, MARGIN);
         Lease other = new Lease("node-b/1", DURATION, MARGIN);
@@ -73,15 +73,15 @@
         for (long now = 0; now <= 2 * DURATION; now += DURATION / 10) {
             drive(other, table, now);
         }
-        boolean taken = table.writeGuarded(late);
+        boolean written = table.writeFenced(late);
 
         // then
         assertThat(other.fencingNumber(2 * DURATION)).hasValue(2);
-        assertThat(taken).isFalse();
+        assertThat(written).isFalse();
     }
 
     @Test
-    void should_hold_from_the_sending_of_a_write_whose_answer_was_lost() {
+    void should_hold_the_lease_from_the_time_the_write_was_sent_when_its_answer_was_lost() {
         // given
         Table table = new Table();
         Lease lease = new Lease("node-a/1", DURATION, MARGIN);
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void should_be_free_at_once_when_the_holder_released_it() {
+    void should_be_available_immediately_when_the_holder_released_it() {
         // given
         Table table = new Table();
         Lease first = new Lease("node-a/1", DURATION, MARGIN);
@@ -117,7 +117,7 @@
     }
 
     @Property(tries = 200, seed = "3")
-    void should_never_have_two_holders_whose_writes_interleave(
+    void should_never_interleave_the_writes_of_two_holders(
             @ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
         // given: three candidates with pauses, lost answers and a store that fails
         SplittableRandom random = new SplittableRandom(seed);
@@ -133,60 +133,60 @@
         for (int i = 0; i < 2_000; i++) {
             now += random.nextLong(DURATION / 8);
             Lease lease = leases.get(random.nextInt(3));
-            act(lease, table, delayed, random, now);
+            performStep(lease, table, delayed, random, now);
             assertWithMessage("seed %s", seed).that(holders(leases, now)).isAtMost(1);
         }
 
         // then
-        assertThat(table.fencingNumbersOfWrites).isNotEmpty();
-        assertWithMessage("seed %s", seed).that(table.fencingNumbersOfWrites).isInOrder();
+        assertThat(table.fencingNumbersWritten).isNotEmpty();
+        assertWithMessage("seed %s", seed).that(table.fencingNumbersWritten).isInOrder();
     }
 
     private static long holders(List<Lease> leases, long now) {
         return leases.stream().filter(lease -> lease.isHeld(now)).count();
     }
 
-    private static void act(
+    private static void performStep(
             Lease lease,
             Table table,
             List<LeaseStep.Write> delayed,
             SplittableRandom random,
             long now) {
         if (!delayed.isEmpty() && random.nextInt(4) == 0) {
-            table.writeGuarded(delayed.remove(0));
+            table.writeFenced(delayed.remove(0));
             return;
         }
-        Optional<LeaseStep.Write> guard =
+        Optional<LeaseStep.Write> leaseWrite =
                 random.nextBoolean() ? lease.beginFencedWrite(now) : Optional.empty();
-        if (guard.isPresent()) {
-            actGuarded(lease, table, guard.get(), delayed, random, now);
+        if (leaseWrite.isPresent()) {
+            performFencedWrite(lease, table, leaseWrite.get(), delayed, random, now);
             return;
         }
         LeaseStep step = lease.next(now);
         if (step instanceof LeaseStep.Read) {
             lease.onRead(table.row, now);
         } else if (step instanceof LeaseStep.Write write) {
-            boolean taken = random.nextInt(8) != 0 && table.write(write);
+            boolean written = random.nextInt(8) != 0 && table.write(write);
             if (random.nextInt(4) == 0) {
                 lease.onOutcomeUnknown(now);
             } else {
-                answer(lease, taken, table, now);
+                answer(lease, written, table, now);
             }
         }
     }
 
-    private static void actGuarded(
+    private static void performFencedWrite(
             Lease lease,
             Table table,
-            LeaseStep.Write guard,
+            LeaseStep.Write leaseWrite,
             List<LeaseStep.Write> delayed,
             SplittableRandom random,
             long now) {
         if (random.nextInt(4) == 0) {
-            delayed.add(guard);
+            delayed.add(leaseWrite);
             lease.onOutcomeUnknown(now);
         } else {
-            answer(lease, table.writeGuarded(guard), table, now);
+            answer(lease, table.writeFenced(leaseWrite), table, now);
         }
     }
 }
--- a/core/src/test/java/org/damaskmoor/core/settings/SettingsDocumentationTest.java
+++ b/core/src/test/java/org/damaskmoor/core/settings/SettingsDocumentationTest.java
@@ -21,12 +21,12 @@
     }
 
     @Test
-    void should_describe_every_setting_of_a_node_when_it_stands_in_the_schema() {
+    void should_describe_every_node_setting_of_the_schema() {
         assertEachIsDescribed(NodeSettings.getDescriptor());
     }
 
     @Test
-    void should_describe_every_setting_of_the_operator_when_it_stands_in_the_schema() {
+    void should_describe_every_operator_setting_of_the_schema() {
         assertEachIsDescribed(OperatorSettings.getDescriptor());
     }
 
--- a/core/src/test/java/org/damaskmoor/core/settings/SettingsReaderTest.java
+++ b/core/src/test/java/org/damaskmoor/core/settings/SettingsReaderTest.java
@@ -19,7 +19,7 @@
                             "--object-store-url", "http://127.0.0.1:1"));
 
     @Test
-    void should_take_the_default_when_nothing_is_given() throws SettingsException {
+    void should_use_the_default_when_no_value_is_given() throws SettingsException {
         // when
         NodeSettings settings = read(Map.of());
 
@@ -28,8 +28,7 @@
     }
 
     @Test
-    void should_prefer_the_flag_when_the_environment_names_another_value()
-            throws SettingsException {
+    void should_prefer_the_flag_when_the_environment_has_another_value() throws SettingsException {
         // given
         flags.put("--http-port", "9000");
 
@@ -41,7 +40,7 @@
     }
 
     @Test
-    void should_name_every_fault_when_several_values_are_bad() {
+    void should_report_every_fault_when_several_values_are_invalid() {
         // given
         flags.put("--http-port", "70000");
         flags.put("--log-level", "loud");
--- a/core/src/test/java/org/damaskmoor/core/settings/TlsFilesTest.java
+++ b/core/src/test/java/org/damaskmoor/core/settings/TlsFilesTest.java
@@ -10,7 +10,7 @@
 
 class TlsFilesTest {
     @Test
-    void should_mean_no_tls_when_none_is_set() throws SettingsException {
+    void should_disable_tls_when_no_file_is_set() throws SettingsException {
         assertThat(TlsFiles.of("", "", "")).isEmpty();
     }
 
@@ -23,7 +23,7 @@
         "c, '', a, --tls-key-file",
         "'', k, a, --tls-certificate-file"
     })
-    void should_name_each_missing_flag_when_tls_is_half_set(
+    void should_name_each_missing_flag_when_only_some_files_are_set(
             String certificate, String key, String authority, String missing) {
         // when
         SettingsException failure =
