--- a/spec/configuration/configuration.pml
+++ b/spec/configuration/configuration.pml
@@ -1,23 +1,23 @@
 /*
  * One row of configuration, two operators, two nodes.
  *
- * The row is written by compare-and-set; a write names its operation. A write may arrive late or
- * twice, and its answer may be lost; the operator's node then reads back whose operation stands. An
- * unchanged row proves nothing (the write may be on its way), so the same write is repeated; a row
- * that has moved on by more than one version may hide the write, so the outcome is unknown. Nodes gossip
- * versions (late, lost or twice), restart without memory, and a fresh one asks its peers and the
- * store before it serves. The store may be down at any time.
+ * The row is written by compare-and-set; a write contains its operation. A write may arrive late or
+ * twice, and its answer may be lost; the operator's node then reads which operation the row has.
+ * An unchanged row proves nothing (the write may be in transit), so the same write is repeated; a
+ * row that is more than one version newer may have overwritten the write, so the outcome is unknown.
+ * Nodes gossip versions (late, lost or twice) and lose their memory at a restart; a starting node
+ * asks its peers and the store before it serves. The store may be down at any time.
  *
- * Proved: a change told as accepted stays in the history of the row; a change told as conflicting
- * or not accepted never takes effect; no node steps back within an incarnation; a node that starts
- * to serve is not behind what a live peer served when it was asked, or what the store held.
- * Each BREAK_ macro takes one guard away.
+ * Checked: a change reported as accepted stays in the history of the row; a change reported as
+ * conflicting or not accepted never takes effect; no node returns to an older version within an
+ * incarnation; a node that starts to serve has at least the version that a live peer served when it
+ * was asked, and that the store held. Each BREAK_ macro removes one guard.
  */
 #define NODES 2
 #define OPERATORS 2
 #define RESTARTS 1
 #define OUTAGES 1
-#define REPEATS 1           /* of a write whose answer was lost */
+#define REPEATS 1           /* repeats of a write whose answer was lost */
 #define NO_OPERATION OPERATORS
 
 byte row_version = 0;
@@ -45,7 +45,7 @@
 #define ROW_UNCHANGED(id) (row_version == seen[id])
 #endif
 
-/* A write arrives at the store, maybe late, maybe again. */
+/* A write arrives at the store, possibly late or a second time. */
 inline write_arrives(id) {
     assert(!told_refused[id]);
     assert(seen[id] + 1 > row_version);     /* never over an accepted version */
@@ -73,7 +73,7 @@
 #define WHEN_LATER told_unknown[id] = true
 #endif
 
-/* An operator's change through its node: read, write on condition, settle a lost answer. */
+/* An operator's change through its node: read, conditional write, resolve a lost answer. */
 proctype operator(byte id) {
     byte repeats = 0;
     atomic { store_up -> seen[id] = row_version };
@@ -87,7 +87,7 @@
     :: atomic { store_up && row_version > seen[id] && written_as[id] == 0 ->
                 tell_refused(id); goto done }   /* 412 */
     :: atomic { AFTER_LOST_ANSWER }
-    :: atomic { told_unknown[id] = true; goto done } /* the operator's patience ends */
+    :: atomic { told_unknown[id] = true; goto done } /* the operator gives up waiting */
     fi;
 read_back:
     atomic { store_up ->
@@ -123,7 +123,7 @@
 
 proctype node(byte n) {
     byte restarts = 0;
-    byte due;               /* the least version that a fresh node must start with */
+    byte due;               /* the oldest version that a starting node may serve */
 start:
     due = 0;
 #ifndef BREAK_FRESH_NODE_SKIPS_PEERS
@@ -135,7 +135,7 @@
     atomic { if :: serving[1 - n] -> due = held[1 - n] :: else fi };
 #endif
 #ifndef BREAK_FRESH_NODE_SKIPS_STORE
-    /* With a serving peer an outage may be waited out later; without one the store must answer. */
+    /* With a serving peer a node may start during an outage; without one the store must answer. */
     atomic { if
              :: store_up -> if :: row_version > due -> due = row_version :: else fi;
                             put_in_force(n, row_version)
@@ -174,7 +174,7 @@
 }
 
 /*
- * What was accepted is in force at every node in the end, and stays so. No execution is infinite
+ * The accepted version is eventually in force at every node, and stays so. No execution is infinite
  * (outages, restarts and repeats are bounded), so no fairness is assumed.
  */
 #define IN_FORCE(n) (serving[n] && held[n] == row_version)
--- a/spec/lease/lease.pml
+++ b/spec/lease/lease.pml
@@ -1,22 +1,22 @@
 /*
- * A lease in the table service with a fencing number, and holders that may be paused at any point.
+ * A lease in the table service with a fencing number; its holders may be paused at any point.
  *
- * A lease has a row (holder, number); each take-over raises the number by compare-and-set. A holder
- * writes under its number, and the store refuses a number below the highest that it has seen. A
- * paused holder takes no step for long, so its lease may lapse without its notice. Writes travel on
- * their own and may come late or twice; answers of a take-over may be lost after their effect.
+ * A lease has a row (holder, number); each take-over increases the number by compare-and-set. A
+ * holder writes with its number, and the store refuses a number below the highest that it has seen. A
+ * paused holder takes no step for an arbitrary time, so its lease may lapse unnoticed. Writes may
+ * arrive late or twice; the answer to a take-over may be lost after the take-over took effect.
  *
- * Proved: no write of a former holder takes effect after a write of a later holder; two holders
- * never share a number. Each BREAK_ macro takes one guard away.
+ * Checked: no write of an earlier holder takes effect after a write of a later holder; two holders
+ * never share a number. Each BREAK_ macro removes one guard.
  */
 #define HOLDERS 2
 #define TAKE_OVERS 3
 
 byte row_number = 0;        /* fencing number in the lease's row */
 byte row_holder = HOLDERS;  /* none */
-bool lapsed = true;         /* by the store's time: the lease was not renewed */
+bool lapsed = true;         /* by the store's clock: the lease was not renewed */
 
-byte highest_written = 0;   /* the highest number under which a write took effect */
+byte highest_written = 0;   /* the highest number with which a write took effect */
 byte writer_of[TAKE_OVERS + 1];
 bool write_sent[TAKE_OVERS + 1];
 byte sender_of[TAKE_OVERS + 1];
@@ -42,7 +42,7 @@
 proctype holder(byte id) {
     byte seen_number = 0;
     byte seen_holder = HOLDERS;
-    byte number = 0;            /* the number it believes to hold; 0: none */
+    byte number = 0;            /* the number that it believes to hold; 0: none */
 end:
     do
     :: atomic { lapsed && row_number < TAKE_OVERS ->
@@ -51,10 +51,10 @@
                 row_number = NEXT_NUMBER; row_holder = id; lapsed = false;
                 if
                 :: number = row_number
-                :: true                 /* the answer was lost: it doesn't know that it holds */
+                :: true                 /* the answer was lost: unaware that it is the holder */
                 fi }
     :: atomic { row_holder == id && !lapsed && number == 0 ->
-                number = row_number }   /* reading back settles a lost answer */
+                number = row_number }   /* reads the row after a lost answer */
     :: atomic { number > 0 -> write_sent[number] = true; sender_of[number] = id }
     :: atomic { number > 0 -> number = 0 }
     od
--- a/spec/link/link.pml
+++ b/spec/link/link.pml
@@ -1,31 +1,32 @@
 /*
- * A call that may not be repeated, sent over a link that is lost from the entry's view while the
- * call may still be on its way, and what a second link proves about it.
+ * A non-idempotent call is sent over a link that the entry node considers lost while the call may
+ * still be in transit; the entry node then uses a second link to seal the call.
  *
  * A link belongs to one process of a target; its frames arrive in order or not at all, and those of
- * two links in any order. The first frame of a link names the node it is meant for and the number
- * of the link; a target closes older links of the same entry when it takes a newer one. Over the
- * second link the entry asks the target to seal the call. The target may restart at any point, and
- * its address may then belong to another node.
+ * two links in any order. The first frame of a link contains the intended node and the number of the
+ * link; a target closes older links of the same entry node when it accepts a newer one. Over the
+ * second link the entry node asks the target to seal the call. The target may restart at any point,
+ * and its address may then belong to another node.
  *
- * Proved: the call runs at most once, also when the entry sends it elsewhere after it was sealed;
- * what was told as "not run" has not run and never will; no other node runs it. Each BREAK_ macro takes one guard away.
+ * Checked: the call runs at most once, also when the entry node sends it to another target after the
+ * seal; a call reported as "not run" has not run and never will; no node that takes over the address
+ * runs it. Each BREAK_ macro removes one guard.
  */
 #define LINKS 2
 
-bool call_on[LINKS + 1];    /* the call's frame is on its way over this link */
+bool call_on[LINKS + 1];    /* the call's frame is in transit over this link */
 bool hello_on[LINKS + 1];
 bool seal_on[LINKS + 1];
 byte process_of[LINKS + 1]; /* the target's process at the other end; 0: not open */
 
-byte process = 1;           /* the target's present process */
-bool other_node = false;    /* the address belongs to another node now */
-byte newest = 0;            /* greatest number of a link that the present process has taken */
-bool taken = false;         /* the present process has taken the call */
+byte process = 1;           /* the target's current process */
+bool other_node = false;    /* the address now belongs to another node */
+byte newest = 0;            /* greatest number of a link that the current process has accepted */
+bool taken = false;         /* the current process has received the call */
 
 byte runs = 0;
 bool told_not_run = false;
-byte answer = 0;            /* to the seal: 1 sealed, 2 handed over, 3 another process */
+byte answer = 0;            /* result of the seal: 1 sealed, 2 handed over, 3 another process */
 byte asked_process = 0;     /* the process to which the call was sent */
 
 inline execute() {
@@ -80,7 +81,7 @@
 proctype entry() {
     atomic { process_of[1] = process; hello_on[1] = true; call_on[1] = true;
              asked_process = process }
-    /* the link is lost from here on, as far as the entry can see */
+    /* from here on the entry node considers the first link lost */
     atomic { process_of[2] = process; hello_on[2] = true; seal_on[2] = true }
 end_awaiting:
     if
--- a/spec/once/once.pml
+++ b/spec/once/once.pml
@@ -1,13 +1,13 @@
 /*
- * At most once: one non-idempotent request, its entry node and two targets.
+ * At-most-once execution: one non-idempotent request, its entry node and two targets.
  *
- * The network keeps every message that was ever sent, so a message may come late, twice, out of
- * order, or never. A paused node is one that takes no step for long. Targets restart with a new
- * incarnation and without memory. Clocks of targets differ without bound. What a ledger does stands
- * in transitions.txt, from which the ledger_* steps are generated.
+ * The network keeps every message that was ever sent, so a message may be delivered late, twice,
+ * out of order, or never. A paused node takes no step for an arbitrary time. Targets restart with a
+ * new incarnation and an empty ledger. Clocks of targets differ without bound. The ledger_* steps
+ * are generated from transitions.txt.
  *
- * Proved: the request runs at most once; it never runs, before or after, when "not run" was told;
- * the caller is always told an outcome. Each BREAK_ macro takes one guard away.
+ * Checked: the request runs at most once; if the caller was told "not run", it has not run and
+ * never does; the caller always receives an outcome. Each BREAK_ macro removes one guard.
  */
 #define TARGETS 2
 #define ATTEMPTS 2
@@ -22,7 +22,7 @@
 #define HANDED_OVER_REPLY 64
 #define OTHER_INCARNATION_REPLY 128
 
-/* Time of a target's clock, measured against the deadline that messages carry. */
+/* Time of a target's clock, relative to the deadline in the messages. */
 #define IN_TIME 0
 #define PAST_DEADLINE 1
 #define PAST_KEEP_UNTIL 2
@@ -35,7 +35,7 @@
 byte runs = 0;
 mtype told = NONE_TOLD;
 
-/* Messages of the entry: per attempt its call, its seal, and the incarnation that they name. */
+/* Messages of the entry node, per attempt: the call, the seal, and the target incarnation in both. */
 bool called[ATTEMPTS];
 bool sealed[ATTEMPTS];
 byte target_of[ATTEMPTS];
@@ -44,7 +44,7 @@
 byte attempt = 0;
 mtype phase = CHOOSING;
 
-/* A target: its ledger's state of the request, and its node around the ledger. */
+/* Targets: the state of the request in the ledger, and the state of the node. */
 mtype state[TARGETS] = ABSENT;
 mtype result;
 bit incarnation[TARGETS];
@@ -182,7 +182,7 @@
 
 inline restart(t) {
     if
-    :: state[t] == HANDED_OVER && !taken_by_upstream[t] -> upstream_runs() /* it was on its way */
+    :: state[t] == HANDED_OVER && !taken_by_upstream[t] -> upstream_runs() /* it may be in transit */
     :: true
     fi;
     incarnation[t] = 1;
@@ -238,7 +238,7 @@
     told = outcome
 }
 
-/* The attempt is proved not to have run: try elsewhere, or tell so. */
+/* The attempt is proved not to have run: send the next attempt, or report "not run". */
 inline not_run() {
     if
     :: attempt + 1 < ATTEMPTS -> attempt++; phase = CHOOSING
@@ -317,7 +317,7 @@
     od
 }
 
-/* The deadline is a timer of its own: other messages can't keep it from firing. */
+/* The deadline is a separate process, so that other messages cannot keep it from firing. */
 active proctype deadline_timer() {
     if
     :: atomic { DEADLINE_FIRES -> AT_DEADLINE }
@@ -325,5 +325,5 @@
     fi
 }
 
-/* Assuming weak fairness: a process that can always take a step takes one. */
+/* Assuming weak fairness: a process that can always take a step eventually takes one. */
 ltl every_request_ends { <> (told != NONE_TOLD) }
--- a/spec/src/test/java/org/damaskmoor/spec/LedgerModelDriver.java
+++ b/spec/src/test/java/org/damaskmoor/spec/LedgerModelDriver.java
@@ -10,9 +10,9 @@
 import org.damaskmoor.core.id.RequestId;
 
 /**
- * A ledger with one request, moved by the operations of the transition table. Not thread-safe.
+ * Applies the operations of the transition table to one request in a real ledger. Not thread-safe.
  *
- * <p>A second request fills the ledger while an operation is to find it full.
+ * <p>A second request fills the ledger for the operations that require a full ledger.
  */
 final class LedgerModelDriver {
     private static final long IN_TIME = 0;
@@ -31,19 +31,19 @@
 
     /** Returns a ledger in which the request is in the given state. */
     static LedgerModelDriver in(String state) {
-        LedgerModelDriver probe = new LedgerModelDriver();
+        LedgerModelDriver driver = new LedgerModelDriver();
         switch (state) {
             case "ABSENT" -> {}
-            case "FENCED" -> probe.apply("acceptFull");
-            case "QUEUED" -> probe.apply("accept");
-            case "HANDED_OVER" -> probe.applyAll("accept", "handOver");
-            case "ANSWERED" -> probe.applyAll("accept", "handOver", "answered");
-            case "FAILED" -> probe.applyAll("accept", "handOver", "failed");
-            case "SEALED" -> probe.apply("seal");
-            case "REFUSED" -> probe.applyAll("accept", "refuse");
+            case "FENCED" -> driver.apply("acceptFull");
+            case "QUEUED" -> driver.apply("accept");
+            case "HANDED_OVER" -> driver.applyAll("accept", "handOver");
+            case "ANSWERED" -> driver.applyAll("accept", "handOver", "answered");
+            case "FAILED" -> driver.applyAll("accept", "handOver", "failed");
+            case "SEALED" -> driver.apply("seal");
+            case "REFUSED" -> driver.applyAll("accept", "refuse");
             default -> throw new IllegalArgumentException(state);
         }
-        return probe;
+        return driver;
     }
 
     private void applyAll(String... operations) {
@@ -52,7 +52,7 @@
         }
     }
 
-    /** Applies an operation and returns its result as the table names it. */
+    /** Applies an operation and returns its result under its name in the table. */
     String apply(String operation) {
         return switch (operation) {
             case "accept" -> accept(OWN, IN_TIME);
@@ -103,7 +103,7 @@
         return result;
     }
 
-    /** Returns the state of the request; a fence shows only in what it does to a call. */
+    /** Returns the state of the request; a fence is detected by the refusal of a call. */
     String state() {
         return ledger.state(ID).map(Enum::name).orElseGet(this::absentOrFenced);
     }
--- a/spec/src/test/java/org/damaskmoor/spec/LedgerTransitionsTest.java
+++ b/spec/src/test/java/org/damaskmoor/spec/LedgerTransitionsTest.java
@@ -17,16 +17,16 @@
     private static final Set<String> ONLY_WHEN_UNKNOWN = Set.of("acceptFull", "sealFull");
 
     @Test
-    void should_move_as_the_transition_table_of_the_model_says() throws IOException {
+    void should_follow_the_transition_table_of_the_model() throws IOException {
         for (Transition transition : transitions()) {
             // given
-            LedgerModelDriver probe = LedgerModelDriver.in(transition.state());
+            LedgerModelDriver driver = LedgerModelDriver.in(transition.state());
 
             // when
-            String result = probe.apply(transition.operation());
+            String result = driver.apply(transition.operation());
 
             // then
-            String next = probe.state();
+            String next = driver.state();
             assertWithMessage("%s", transition).that(result).isEqualTo(transition.result());
             assertWithMessage("%s", transition).that(next).isEqualTo(transition.next());
         }
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void should_leave_only_queued_for_sealed_or_refused() throws IOException {
+    void should_reach_sealed_and_refused_from_queued_only() throws IOException {
         Set<String> notRun = Set.of("SEALED", "REFUSED");
         Set<String> mayPrecede = Set.of("ABSENT", "FENCED", "QUEUED", "SEALED", "REFUSED");
 
