--- a/soak/src/main/java/org/damaskmoor/soak/Places.java
+++ b/soak/src/main/java/org/damaskmoor/soak/PortAllocator.java
@@ -7,38 +7,39 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Finds loopback ports that stay free while processes restart: a block below the ports that the
- * system gives to outgoing connections, whose first port is held as long as the block is used.
+ * Allocates loopback ports that stay free while processes restart. The ports come from a block
+ * below the ephemeral port range; a socket bound to the first port reserves the block.
  *
- * <p>Confined to one thread. Invariants: no port is given twice; two soaks never share a block.
+ * <p>Confined to one thread. Invariants: no port is allocated twice; two soak runs never share a
+ * block.
  */
-final class Places implements AutoCloseable {
+final class PortAllocator implements AutoCloseable {
     private static final int FIRST_PORT = 11_000;
     private static final int BLOCK_PORTS = 200;
     private static final int BLOCKS = 100;
 
-    private final ServerSocket held;
+    private final ServerSocket blockHolder;
     private int next;
 
-    Places(RandomGenerator random) throws IOException {
-        held = hold(random.nextInt(BLOCKS));
-        next = held.getLocalPort();
+    PortAllocator(RandomGenerator random) throws IOException {
+        blockHolder = reserveBlock(random.nextInt(BLOCKS));
+        next = blockHolder.getLocalPort();
     }
 
-    private static ServerSocket hold(int firstBlock) throws IOException {
+    private static ServerSocket reserveBlock(int firstBlock) throws IOException {
         for (int i = 0; i < BLOCKS; i++) {
             int port = FIRST_PORT + (firstBlock + i) % BLOCKS * BLOCK_PORTS;
             try {
                 return new ServerSocket(port, 1, InetAddress.getLoopbackAddress());
             } catch (IOException taken) {
-                // Another soak holds this block.
+                // Another soak run has reserved this block.
             }
         }
-        throw new IOException("No block of ports is free; end other soaks first.");
+        throw new IOException("All port blocks are reserved; stop other soak runs first.");
     }
 
-    /** An address that nothing listens on. */
-    InetSocketAddress free() {
+    /** Returns a loopback address that nothing listens on. */
+    InetSocketAddress allocate() {
         while (true) {
             next++;
             InetSocketAddress address =
@@ -47,13 +48,13 @@
                 socket.bind(address);
                 return address;
             } catch (IOException taken) {
-                // Something else listens there; the next one may be free.
+                // Another program listens on this port; try the next one.
             }
         }
     }
 
     @Override
     public void close() throws IOException {
-        held.close();
+        blockHolder.close();
     }
 }
--- a/soak/src/main/java/org/damaskmoor/soak/RelayProcess.java
+++ b/soak/src/main/java/org/damaskmoor/soak/RelayProcess.java
@@ -12,10 +12,10 @@
 import org.damaskmoor.platform.standin.AnnouncementClient;
 
 /**
- * One relay as a process of its own, with its settings file and its log.
+ * Runs one relay as a child process with its settings file and log file.
  *
- * <p>Thread-safe. Invariant: at most one process at a time, and it ends at the latest with this
- * one.
+ * <p>Thread-safe. Invariant: at most one process runs at a time, and it is killed when this JVM
+ * exits.
  */
 final class RelayProcess implements AutoCloseable {
     private static final List<String> COMMAND =
@@ -56,21 +56,21 @@
                         .start();
     }
 
-    /** Whether the process runs. */
+    /** Returns whether the process is running. */
     boolean isAlive() {
         return process != null && process.isAlive();
     }
 
-    /** Whether it says that it takes callers. */
+    /** Returns whether the relay reports itself ready for callers. */
     boolean isReady() {
         try {
             return AnnouncementClient.isReady(readiness);
-        } catch (IOException notThere) {
+        } catch (IOException unreachable) {
             return false;
         }
     }
 
-    /** Sends a signal by its name, such as {@code STOP}. */
+    /** Sends a signal, given by name, such as {@code STOP}. */
     void signal(String name) {
         try {
             new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
@@ -81,24 +81,24 @@
         }
     }
 
-    /** Ends the process at once. */
+    /** Kills the process immediately. */
     void kill() {
         if (process != null) {
             process.destroyForcibly();
         }
     }
 
-    /** Waits for the end; false when it still runs after that time. */
-    boolean awaitEnd(long milliseconds) throws InterruptedException {
+    /** Waits for the process to exit; returns false if it still runs after the timeout. */
+    boolean awaitExit(long milliseconds) throws InterruptedException {
         return process.waitFor(milliseconds, TimeUnit.MILLISECONDS);
     }
 
-    /** The code with which it ended. */
+    /** Returns the exit code of the process. */
     int exitCode() {
         return process.exitValue();
     }
 
-    /** Puts other text in the settings file. */
+    /** Replaces the content of the settings file. */
     void writeSettings(String properties) throws IOException {
         Files.writeString(settings, properties);
     }
--- a/soak/src/main/java/org/damaskmoor/soak/SoakCaller.java
+++ b/soak/src/main/java/org/damaskmoor/soak/SoakCaller.java
@@ -7,31 +7,34 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
 import org.damaskmoor.platform.standin.RawCaller;
-import org.damaskmoor.soak.fault.FaultyLink;
-import org.damaskmoor.soak.promise.Exchange;
-import org.damaskmoor.soak.promise.Exchange.End;
+import org.damaskmoor.soak.fault.FaultInjectingProxy;
+import org.damaskmoor.soak.verification.Exchange;
+import org.damaskmoor.soak.verification.Exchange.End;
 
 /**
- * A caller that sends one request after the other over a connection that it uses until the relay
- * closes it. Confined to one thread.
+ * Sends requests one after the other over a keep-alive connection and opens a new one when the
+ * relay has closed it. Confined to one thread.
  */
 final class SoakCaller implements Runnable {
-    private static final long BETWEEN_REQUESTS_MILLISECONDS = 15;
+    private static final long MEAN_GAP_MILLISECONDS = 15;
     private static final long RECONNECT_MILLISECONDS = 100;
 
-    /** The deadline that requests carry and 1.5 s: an answer that still comes later is too late. */
-    private static final int PATIENCE_MILLISECONDS = 4500;
+    /** The deadline that requests carry plus 1.5 s; a later answer counts as missing. */
+    private static final int READ_TIMEOUT_MILLISECONDS = 4500;
 
     private static final int OK = 200;
 
-    /** Versions from which a route is taken: the newest is rarely old enough to be due. */
-    private static final int VERSIONS = 4;
+    /**
+     * Number of recent versions whose routes are requested: the newest version alone is rarely past
+     * its propagation limit.
+     */
+    private static final int RECENT_VERSIONS = 4;
 
     private final String name;
     private final int relay;
     private final SoakSite site;
     private final Queue<Exchange> exchanges;
-    private final BooleanSupplier ended;
+    private final BooleanSupplier stopped;
     private final LongSupplier clock;
     private final SplittableRandom random;
     private int sent;
@@ -41,42 +44,46 @@
             int relay,
             SoakSite site,
             Queue<Exchange> exchanges,
-            BooleanSupplier ended,
+            BooleanSupplier stopped,
             LongSupplier clock,
             SplittableRandom random) {
         this.name = name;
         this.relay = relay;
         this.site = site;
         this.exchanges = exchanges;
-        this.ended = ended;
+        this.stopped = stopped;
         this.clock = clock;
         this.random = random;
     }
 
     @Override
     public void run() {
-        while (!ended.getAsBoolean()) {
+        while (!stopped.getAsBoolean()) {
             try (RawCaller connection =
                     new RawCaller(
-                            site.nodes().get(relay).callers().address(), PATIENCE_MILLISECONDS)) {
-                while (!ended.getAsBoolean() && exchange(connection)) {
-                    Thread.sleep(random.nextLong(2 * BETWEEN_REQUESTS_MILLISECONDS));
+                            site.nodes().get(relay).callerProxy().address(),
+                            READ_TIMEOUT_MILLISECONDS)) {
+                while (!stopped.getAsBoolean() && exchange(connection)) {
+                    Thread.sleep(random.nextLong(2 * MEAN_GAP_MILLISECONDS));
                 }
                 Thread.sleep(RECONNECT_MILLISECONDS);
-            } catch (IOException notThere) {
-                // The relay is away or restarts; the next connection may find it.
+            } catch (IOException unreachable) {
+                // The relay is down or restarting; the next connection may succeed.
             } catch (InterruptedException interrupted) {
                 return;
             }
         }
     }
 
-    /** Sends a request and notes its end; false when the connection can't be used any more. */
+    /**
+     * Sends a request and records its outcome; returns false if the connection is no longer usable.
+     */
     private boolean exchange(RawCaller connection) throws IOException {
         sent++;
         String id = name + "-" + sent;
         int choice = random.nextInt(10);
-        int version = choice < 2 ? Math.max(1, site.version() - random.nextInt(VERSIONS)) : 0;
+        int version =
+                choice < 2 ? Math.max(1, site.version() - random.nextInt(RECENT_VERSIONS)) : 0;
         boolean order = choice >= 6;
         String request =
                 order
@@ -98,10 +105,10 @@
             end = End.NO_ANSWER;
             usable = false;
         } catch (IOException closed) {
-            FaultyLink link = site.nodes().get(relay).callers();
-            long passedOnAt = link.passedOnAt(connection.localPort());
-            end = passedOnAt >= sentAt ? End.CLOSED : End.NEVER_REACHED;
-            sentAt = Math.max(sentAt, passedOnAt);
+            FaultInjectingProxy proxy = site.nodes().get(relay).callerProxy();
+            long lastForwardedAt = proxy.lastForwardedAt(connection.localPort());
+            end = lastForwardedAt >= sentAt ? End.CLOSED : End.NEVER_REACHED;
+            sentAt = Math.max(sentAt, lastForwardedAt);
             usable = false;
         }
         exchanges.add(
--- a/soak/src/main/java/org/damaskmoor/soak/SoakCommand.java
+++ b/soak/src/main/java/org/damaskmoor/soak/SoakCommand.java
@@ -9,78 +9,79 @@
 import java.util.concurrent.Callable;
 
 /**
- * Runs relays as processes under random faults and checks that no promise broke.
+ * Runs relays as processes under random faults and checks their guarantees.
  *
  * <pre>{@code
  * damaskmoor soak --seed 1 --seeds 50
  * }</pre>
  *
- * <p>Exit codes: 0 when every promise held, 1 when one broke. Used by one thread.
+ * <p>Exit codes: 0 when all guarantees held, 1 when one was violated. Used by one thread.
  */
-@Command(name = "soak", description = "Relays as processes under a seeded plan of faults")
+@Command(name = "soak", description = "Runs relay processes under a fault plan derived from a seed")
 public final class SoakCommand implements Callable<Integer> {
     private static final long MILLISECONDS_PER_SECOND = 1000;
 
     @Option(name = "--seed", description = "The first seed")
     private long seed = 1;
 
-    @Option(name = "--seeds", description = "How many seeds, one after the other")
+    @Option(name = "--seeds", description = "Number of seeds, run one after the other")
     private int seeds = 1;
 
-    @Option(name = "--regressions", description = "File of seeds to play instead, one a line")
+    @Option(
+            name = "--regressions",
+            description = "File with the seeds to run instead, one per line")
     private String regressions = "";
 
-    @Option(name = "--seconds", description = "Length of the load of each seed")
+    @Option(name = "--seconds", description = "Duration of the load for each seed")
     private int seconds = 20;
 
-    @Option(name = "--relays", description = "How many relays")
+    @Option(name = "--relays", description = "Number of relays")
     private int relays = 6;
 
-    @Option(name = "--relay-jar", description = "The program under test")
+    @Option(name = "--relay-jar", description = "Relay jar under test")
     private String relayJar = "relay/target/damaskmoor-relay.jar";
 
     @Override
     public Integer call() throws Exception {
         Path jar = Path.of(relayJar);
         if (!Files.isRegularFile(jar)) {
-            System.err.println(
-                    "There is no relay at " + jar + ". Build it, or name it with --relay-jar.");
+            System.err.println("Relay jar not found: " + jar + ". Build it or set --relay-jar.");
             return 1;
         }
         int failed = 0;
-        for (long played : seedsToPlay()) {
-            Path directory = Files.createTempDirectory("damaskmoor-soak-" + played + "-");
-            System.out.println("seed=" + played + " logs=" + directory);
+        for (long current : seedsToRun()) {
+            Path directory = Files.createTempDirectory("damaskmoor-soak-" + current + "-");
+            System.out.println("seed=" + current + " logs=" + directory);
             SoakRun.Result result =
                     new SoakRun(jar, directory, relays)
-                            .play(played, seconds * MILLISECONDS_PER_SECOND);
-            result.broken().forEach(System.out::println);
+                            .run(current, seconds * MILLISECONDS_PER_SECOND);
+            result.violations().forEach(System.out::println);
             System.out.println(
                     "seed="
-                            + played
+                            + current
                             + " broken="
-                            + result.broken().size()
+                            + result.violations().size()
                             + " requests="
-                            + result.ends());
-            failed += result.broken().isEmpty() ? 0 : 1;
+                            + result.outcomes());
+            failed += result.violations().isEmpty() ? 0 : 1;
         }
         System.out.println("seeds_failed=" + failed);
         return failed == 0 ? 0 : 1;
     }
 
-    private List<Long> seedsToPlay() throws Exception {
-        List<Long> toPlay = new ArrayList<>();
+    private List<Long> seedsToRun() throws Exception {
+        List<Long> toRun = new ArrayList<>();
         if (regressions.isEmpty()) {
             for (int i = 0; i < seeds; i++) {
-                toPlay.add(seed + i);
+                toRun.add(seed + i);
             }
-            return toPlay;
+            return toRun;
         }
         for (String line : Files.readAllLines(Path.of(regressions))) {
             if (!line.isBlank() && !line.startsWith("#")) {
-                toPlay.add(Long.parseLong(line.strip().split("\\s", 2)[0]));
+                toRun.add(Long.parseLong(line.strip().split("\\s", 2)[0]));
             }
         }
-        return toPlay;
+        return toRun;
     }
 }
--- a/soak/src/main/java/org/damaskmoor/soak/SoakMain.java
+++ b/soak/src/main/java/org/damaskmoor/soak/SoakMain.java
@@ -4,13 +4,13 @@
 import com.github.rvesse.airline.parser.errors.ParseException;
 
 /**
- * Entry point of the binary damaskmoor-soak.
+ * Entry point of the damaskmoor-soak binary.
  *
- * <p>Exit codes: what the command returns; 1 when it failed; 2 when its flags are wrong.
+ * <p>Exit codes: the exit code of the command; 1 when it threw an exception; 2 for invalid flags.
  */
 public final class SoakMain {
     private static final int FAILED = 1;
-    private static final int WRONG_FLAGS = 2;
+    private static final int USAGE_ERROR = 2;
 
     private SoakMain() {}
 
@@ -23,9 +23,9 @@
             return SingleCommand.singleCommand(SoakCommand.class).parse(arguments).call();
         } catch (ParseException wrong) {
             System.err.println(wrong.getMessage());
-            return WRONG_FLAGS;
+            return USAGE_ERROR;
         } catch (Exception failure) {
-            System.err.println("The soak failed: " + failure);
+            System.err.println("Soak run failed:  " + failure);
             return FAILED;
         }
     }
--- a/soak/src/main/java/org/damaskmoor/soak/SoakRun.java
+++ b/soak/src/main/java/org/damaskmoor/soak/SoakRun.java
@@ -10,32 +10,33 @@
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.atomic.AtomicBoolean;
-import org.damaskmoor.soak.fault.FaultPlan;
+import org.damaskmoor.soak.fault.FaultPlanner;
 import org.damaskmoor.soak.fault.PlannedFault;
-import org.damaskmoor.soak.promise.Disturbances;
-import org.damaskmoor.soak.promise.Exchange;
-import org.damaskmoor.soak.promise.Promises;
-import org.damaskmoor.soak.promise.RunLedger;
+import org.damaskmoor.soak.verification.DisturbanceLog;
+import org.damaskmoor.soak.verification.Exchange;
+import org.damaskmoor.soak.verification.GuaranteeChecker;
+import org.damaskmoor.soak.verification.RunLedger;
 
 /**
- * One seed: a site under load while faults come and go, then checked for recovery.
+ * Runs one seed: puts a site under load, injects faults, waits for recovery and checks the
+ * guarantees.
  *
- * <p>Confined to one thread. Invariant: the same seed gives the same plan of faults.
+ * <p>Confined to one thread. Invariant: the same seed gives the same fault plan.
  */
 final class SoakRun {
     private static final int CALLERS_PER_RELAY = 6;
-    private static final long CONFIGURATION_EVERY_MILLISECONDS = 1500;
+    private static final long MEAN_CONFIGURATION_INTERVAL_MILLISECONDS = 1500;
 
-    /** Time in which all relays serve again after the last fault. */
-    private static final long RECOVERY_MILLISECONDS = 15_000;
+    /** Limit for every relay to serve requests again after the last fault. */
+    private static final long RECOVERY_TIMEOUT_MILLISECONDS = 15_000;
 
     private final Path jar;
     private final Path directory;
     private final int relays;
-    private final long beganAt = System.nanoTime();
+    private final long startNanoseconds = System.nanoTime();
 
-    /** What came of a run: one line for each broken promise, and how many requests there were. */
-    record Result(List<String> broken, Map<String, Integer> ends) {}
+    /** Result of a run: one line for each violation, and the number of requests by outcome. */
+    record Result(List<String> violations, Map<String, Integer> outcomes) {}
 
     SoakRun(Path jar, Path directory, int relays) {
         this.jar = jar;
@@ -44,44 +45,49 @@
     }
 
     private long now() {
-        return (System.nanoTime() - beganAt) / 1_000_000;
+        return (System.nanoTime() - startNanoseconds) / 1_000_000;
     }
 
-    /** Plays a seed. */
-    Result play(long seed, long loadMilliseconds) throws IOException, InterruptedException {
+    /** Runs the seed under load for the given time. */
+    Result run(long seed, long loadMilliseconds) throws IOException, InterruptedException {
         SplittableRandom random = new SplittableRandom(seed);
         RunLedger ledger = new RunLedger();
-        Disturbances disturbances = new Disturbances();
+        DisturbanceLog disturbances = new DisturbanceLog();
         Queue<Exchange> exchanges = new ConcurrentLinkedQueue<>();
         AtomicBoolean ended = new AtomicBoolean();
-        List<String> broken = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
         try (SoakSite site =
                 new SoakSite(jar, directory, relays, random.split(), this::now, ledger)) {
             site.start();
             List<Thread> callers = startCallers(site, exchanges, ended, random);
-            FaultPlayer player = new FaultPlayer(site, disturbances, this::now);
-            playFaults(site, player, new FaultPlan(random.split()).plan(loadMilliseconds), random);
-            broken.addAll(player.await());
-            broken.addAll(unrecovered(site, exchanges));
+            FaultExecutor executor = new FaultExecutor(site, disturbances, this::now);
+            injectFaults(
+                    site,
+                    executor,
+                    new FaultPlanner(random.split()).plan(loadMilliseconds),
+                    random);
+            violations.addAll(executor.awaitAll());
+            violations.addAll(unrecoveredRelays(site, exchanges));
             ended.set(true);
             for (Thread caller : callers) {
                 caller.join();
             }
-            Promises promises = new Promises(disturbances, ledger);
-            broken.addAll(promises.broken(exchanges));
-            broken.addAll(promises.outdated(exchanges, site.acknowledged(), site.startedAt()));
+            GuaranteeChecker checker = new GuaranteeChecker(disturbances, ledger);
+            violations.addAll(checker.violations(exchanges));
+            violations.addAll(checker.staleRoutes(exchanges, site.storedAt(), site.readyAt()));
             site.nodes()
                     .forEach(
                             node ->
-                                    broken.addAll(
-                                            promises.afterLeaving(node.upstream().leavingSince())));
+                                    violations.addAll(
+                                            checker.callsAfterDrain(
+                                                    node.upstream().drainAcknowledgedAt())));
         }
-        Map<String, Integer> ends = new TreeMap<>();
-        exchanges.forEach(exchange -> ends.merge(name(exchange), 1, Integer::sum));
-        return new Result(broken, ends);
+        Map<String, Integer> outcomes = new TreeMap<>();
+        exchanges.forEach(exchange -> outcomes.merge(outcomeName(exchange), 1, Integer::sum));
+        return new Result(violations, outcomes);
     }
 
-    private static String name(Exchange exchange) {
+    private static String outcomeName(Exchange exchange) {
         return exchange.status() == 0
                 ? exchange.end().name()
                 : exchange.end() + "_" + exchange.status();
@@ -111,8 +117,8 @@
         return callers;
     }
 
-    private void playFaults(
-            SoakSite site, FaultPlayer player, List<PlannedFault> plan, SplittableRandom random)
+    private void injectFaults(
+            SoakSite site, FaultExecutor executor, List<PlannedFault> plan, SplittableRandom random)
             throws InterruptedException {
         long start = now();
         long nextChange = start;
@@ -121,10 +127,10 @@
             while (nextChange < due) {
                 sleepUntil(nextChange);
                 site.changeConfiguration();
-                nextChange += random.nextLong(2 * CONFIGURATION_EVERY_MILLISECONDS);
+                nextChange += random.nextLong(2 * MEAN_CONFIGURATION_INTERVAL_MILLISECONDS);
             }
             sleepUntil(due);
-            player.play(fault);
+            executor.start(fault);
         }
     }
 
@@ -132,26 +138,29 @@
         Thread.sleep(Math.max(0, due - now()));
     }
 
-    /** Waits until each relay has served since the last fault. */
-    private List<String> unrecovered(SoakSite site, Queue<Exchange> exchanges)
+    /**
+     * Waits until each relay has served a request since the last fault; returns a line for each
+     * that has not.
+     */
+    private List<String> unrecoveredRelays(SoakSite site, Queue<Exchange> exchanges)
             throws InterruptedException {
-        long healed = now();
-        List<String> missing = new ArrayList<>();
+        long faultsEndedAt = now();
+        List<String> violations = new ArrayList<>();
         for (int relay = 0; relay < site.nodes().size(); relay++) {
             int number = relay;
             while (exchanges.stream()
                     .noneMatch(
                             exchange ->
                                     exchange.relay() == number
-                                            && exchange.sentAt() > healed
+                                            && exchange.sentAt() > faultsEndedAt
                                             && exchange.status() == 200)) {
-                if (now() > healed + RECOVERY_MILLISECONDS) {
-                    missing.add("broken=NOT_RECOVERED relay=" + number);
+                if (now() > faultsEndedAt + RECOVERY_TIMEOUT_MILLISECONDS) {
+                    violations.add("broken=NOT_RECOVERED relay=" + number);
                     break;
                 }
-                Thread.sleep(CONFIGURATION_EVERY_MILLISECONDS / 10);
+                Thread.sleep(MEAN_CONFIGURATION_INTERVAL_MILLISECONDS / 10);
             }
         }
-        return missing;
+        return violations;
     }
 }
--- a/soak/src/main/java/org/damaskmoor/soak/SoakSite.java
+++ b/soak/src/main/java/org/damaskmoor/soak/SoakSite.java
@@ -14,36 +14,36 @@
 import java.util.random.RandomGenerator;
 import org.damaskmoor.platform.standin.ConfigurationJson;
 import org.damaskmoor.platform.standin.StoreStandIn;
-import org.damaskmoor.soak.fault.FaultyLink;
-import org.damaskmoor.soak.promise.RunLedger;
+import org.damaskmoor.soak.fault.FaultInjectingProxy;
+import org.damaskmoor.soak.verification.RunLedger;
 
 /**
- * Relays as processes, with the store, upstreams and faulty links around them.
+ * The system under test: relay processes with their store, upstreams and fault-injecting proxies.
  *
- * <p>Thread-safe. Invariant: all that it started ends when it is closed.
+ * <p>Thread-safe. Invariant: closing the site ends everything that it started.
  */
 final class SoakSite implements AutoCloseable {
     private static final int REGIONS = 2;
-    private static final long START_MILLISECONDS = 20_000;
-    private static final long STEP_MILLISECONDS = 50;
+    private static final long STARTUP_TIMEOUT_MILLISECONDS = 20_000;
+    private static final long POLL_MILLISECONDS = 50;
 
-    /** One relay with what is around it. */
+    /** One relay with its upstream and the proxies in front of its connections. */
     record Node(
             RelayProcess process,
             String settings,
             SoakUpstream upstream,
-            FaultyLink callers,
-            FaultyLink links,
-            FaultyLink storeLink,
-            FaultyLink upstreamLink) {}
+            FaultInjectingProxy callerProxy,
+            FaultInjectingProxy linkProxy,
+            FaultInjectingProxy storeProxy,
+            FaultInjectingProxy upstreamProxy) {}
 
     private final LongSupplier clock;
     private final RunLedger ledger;
-    private final Places places;
+    private final PortAllocator ports;
     private final StoreStandIn store = new StoreStandIn();
     private final List<Node> nodes = new ArrayList<>();
-    private final Map<Integer, NavigableSet<Long>> startedAt = new HashMap<>();
-    private final Map<Integer, Long> acknowledged = new ConcurrentHashMap<>();
+    private final Map<Integer, NavigableSet<Long>> readyAt = new HashMap<>();
+    private final Map<Integer, Long> storedAt = new ConcurrentHashMap<>();
     private int version;
 
     SoakSite(
@@ -56,22 +56,24 @@
             throws IOException {
         this.clock = clock;
         this.ledger = ledger;
-        this.places = new Places(random);
+        this.ports = new PortAllocator(random);
         for (int i = 0; i < relays; i++) {
             nodes.add(node(jar, directory, i));
-            startedAt.put(i, new ConcurrentSkipListSet<>());
+            readyAt.put(i, new ConcurrentSkipListSet<>());
         }
     }
 
     private Node node(Path jar, Path directory, int number) throws IOException {
-        InetSocketAddress callers = places.free();
-        InetSocketAddress links = places.free();
-        InetSocketAddress ready = places.free();
-        InetSocketAddress announcements = places.free();
-        InetSocketAddress upstream = places.free();
-        FaultyLink storeLink = new FaultyLink(places.free(), store.address(), clock);
-        FaultyLink upstreamLink = new FaultyLink(places.free(), upstream, clock);
-        FaultyLink linkProxy = new FaultyLink(places.free(), links, clock);
+        InetSocketAddress callers = ports.allocate();
+        InetSocketAddress links = ports.allocate();
+        InetSocketAddress ready = ports.allocate();
+        InetSocketAddress announcements = ports.allocate();
+        InetSocketAddress upstream = ports.allocate();
+        FaultInjectingProxy storeProxy =
+                new FaultInjectingProxy(ports.allocate(), store.address(), clock);
+        FaultInjectingProxy upstreamProxy =
+                new FaultInjectingProxy(ports.allocate(), upstream, clock);
+        FaultInjectingProxy linkProxy = new FaultInjectingProxy(ports.allocate(), links, clock);
         String name = "relay-" + number;
         String settings =
                 String.join(
@@ -80,13 +82,13 @@
                         "region=region-" + number % REGIONS,
                         "data-centre=data-centre-" + number % REGIONS,
                         "service=books",
-                        "caller-address=" + text(callers),
-                        "link-address=" + text(links),
-                        "advertised-link-address=" + text(linkProxy.address()),
-                        "readiness-address=" + text(ready),
-                        "announcement-address=" + text(announcements),
-                        "upstream-address=" + text(upstreamLink.address()),
-                        "store-address=" + text(storeLink.address()),
+                        "caller-address=" + hostAndPort(callers),
+                        "link-address=" + hostAndPort(links),
+                        "advertised-link-address=" + hostAndPort(linkProxy.address()),
+                        "readiness-address=" + hostAndPort(ready),
+                        "announcement-address=" + hostAndPort(announcements),
+                        "upstream-address=" + hostAndPort(upstreamProxy.address()),
+                        "store-address=" + hostAndPort(storeProxy.address()),
                         "drain=2500ms",
                         "stop-timeout=6s",
                         "retry-ratio=0.2",
@@ -98,17 +100,17 @@
                 new RelayProcess(jar, directory, name, settings, ready),
                 settings,
                 new SoakUpstream(number, upstream.getPort(), announcements, ledger, clock),
-                new FaultyLink(places.free(), callers, clock),
+                new FaultInjectingProxy(ports.allocate(), callers, clock),
                 linkProxy,
-                storeLink,
-                upstreamLink);
+                storeProxy,
+                upstreamProxy);
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String hostAndPort(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** Starts all and waits until each relay takes callers. */
+    /** Starts all processes and waits until each relay is ready. */
     void start() throws IOException, InterruptedException {
         changeConfiguration();
         for (Node node : nodes) {
@@ -116,26 +118,26 @@
             node.upstream().start();
         }
         for (int i = 0; i < nodes.size(); i++) {
-            if (!awaitReady(i, START_MILLISECONDS)) {
-                throw new IOException("relay " + i + " did not get ready; see its log");
+            if (!awaitReady(i, STARTUP_TIMEOUT_MILLISECONDS)) {
+                throw new IOException("relay " + i + " did not become ready in time; see its log");
             }
         }
     }
 
-    /** Waits until a relay takes callers. */
+    /** Waits until a relay is ready; returns false on timeout. */
     boolean awaitReady(int number, long milliseconds) throws InterruptedException {
         long until = clock.getAsLong() + milliseconds;
         while (!nodes.get(number).process().isReady()) {
             if (clock.getAsLong() > until) {
                 return false;
             }
-            Thread.sleep(STEP_MILLISECONDS);
+            Thread.sleep(POLL_MILLISECONDS);
         }
-        startedAt.get(number).add(clock.getAsLong());
+        readyAt.get(number).add(clock.getAsLong());
         return true;
     }
 
-    /** Puts a configuration with one more route in the store. */
+    /** Stores the next configuration version, which has one more route. */
     synchronized void changeConfiguration() {
         version++;
         StringBuilder routes = new StringBuilder();
@@ -144,22 +146,22 @@
                     .append(ConfigurationJson.route("v" + i, "/v" + i + "/", "idempotent"));
         }
         store.putConfiguration(ConfigurationJson.of(version, routes.toString()));
-        acknowledged.put(version, clock.getAsLong());
+        storedAt.put(version, clock.getAsLong());
     }
 
-    /** The newest version that the store holds. */
+    /** Returns the newest version in the store. */
     synchronized int version() {
         return version;
     }
 
-    /** When the store had each version. */
-    Map<Integer, Long> acknowledged() {
-        return acknowledged;
+    /** Returns the time at which the store had acknowledged each version. */
+    Map<Integer, Long> storedAt() {
+        return storedAt;
     }
 
-    /** When each relay got ready, for each of its processes. */
-    Map<Integer, NavigableSet<Long>> startedAt() {
-        return startedAt;
+    /** Returns the times at which the successive processes of each relay became ready. */
+    Map<Integer, NavigableSet<Long>> readyAt() {
+        return readyAt;
     }
 
     StoreStandIn store() {
@@ -175,12 +177,12 @@
         for (Node node : nodes) {
             node.process().close();
             node.upstream().close();
-            node.callers().close();
-            node.links().close();
-            node.storeLink().close();
-            node.upstreamLink().close();
+            node.callerProxy().close();
+            node.linkProxy().close();
+            node.storeProxy().close();
+            node.upstreamProxy().close();
         }
         store.close();
-        places.close();
+        ports.close();
     }
 }
--- a/soak/src/main/java/org/damaskmoor/soak/SoakUpstream.java
+++ b/soak/src/main/java/org/damaskmoor/soak/SoakUpstream.java
@@ -11,20 +11,20 @@
 import org.damaskmoor.platform.standin.UpstreamStandIn;
 import org.damaskmoor.platform.standin.UpstreamStandIn.Connection;
 import org.damaskmoor.platform.standin.UpstreamStandIn.Request;
-import org.damaskmoor.soak.promise.RunLedger;
+import org.damaskmoor.soak.verification.RunLedger;
 
 /**
- * The upstream beside one relay: runs requests in its slots, announces itself, and can die, freeze
- * and leave.
+ * The upstream of one relay: runs requests in a fixed number of slots, announces itself to the
+ * relay, and can be killed, frozen and drained.
  *
  * <p>Thread-safe. Invariants: a run is in the ledger before its work begins; each incarnation has a
- * name of its own.
+ * unique id.
  */
 final class SoakUpstream implements AutoCloseable {
     private static final int SLOTS = 3;
-    private static final long SHORTEST_WORK_MILLISECONDS = 2;
-    private static final long LONGEST_WORK_MILLISECONDS = 60;
-    private static final long ANNOUNCE_EVERY_MILLISECONDS = 400;
+    private static final long MINIMUM_SERVICE_MILLISECONDS = 2;
+    private static final long MAXIMUM_SERVICE_MILLISECONDS = 60;
+    private static final long ANNOUNCEMENT_INTERVAL_MILLISECONDS = 400;
     private static final int OK = 200;
 
     private final int relay;
@@ -32,14 +32,15 @@
     private final InetSocketAddress announcements;
     private final RunLedger ledger;
     private final LongSupplier clock;
-    private final Map<String, Long> leavingSince = new ConcurrentHashMap<>();
-    private final Object thaw = new Object();
-    private volatile Incarnation present;
+    private final Map<String, Long> drainAcknowledgedAt = new ConcurrentHashMap<>();
+    private final Object freezeLock = new Object();
+    private volatile Incarnation current;
     private volatile boolean frozen;
     private volatile boolean closed;
     private int incarnations;
 
-    private record Incarnation(String id, long born, UpstreamStandIn server, Semaphore slots) {}
+    private record Incarnation(
+            String id, long startedAt, UpstreamStandIn server, Semaphore slots) {}
 
     SoakUpstream(
             int relay,
@@ -56,7 +57,7 @@
 
     /** Starts a new incarnation. */
     synchronized void start() throws IOException {
-        if (closed || present != null) {
+        if (closed || current != null) {
             return;
         }
         incarnations++;
@@ -64,79 +65,82 @@
         UpstreamStandIn server = new UpstreamStandIn(port);
         Incarnation started = new Incarnation(id, clock.getAsLong(), server, new Semaphore(SLOTS));
         server.setScript((request, connection) -> answer(started, request, connection));
-        present = started;
+        current = started;
         Thread announcing = new Thread(() -> announce(started), "announce-" + id);
         announcing.setDaemon(true);
         announcing.start();
     }
 
-    /** Dies at once, with its work. */
+    /** Kills the current incarnation together with the requests that it runs. */
     synchronized void kill() throws IOException {
-        Incarnation killed = present;
-        present = null;
+        Incarnation killed = current;
+        current = null;
         if (killed != null) {
             killed.server().close();
         }
     }
 
-    /** Stands still, or goes on. */
+    /** Suspends or resumes all work and announcements. */
     void freeze(boolean freeze) {
-        synchronized (thaw) {
+        synchronized (freezeLock) {
             frozen = freeze;
-            thaw.notifyAll();
+            freezeLock.notifyAll();
         }
     }
 
-    /** Says that it leaves; it still serves what comes. */
-    void leave() {
-        Incarnation leaving = present;
-        if (leaving != null) {
-            leavingSince.putIfAbsent(leaving.id(), Long.MAX_VALUE / 2);
+    /** Announces from now on that the current incarnation is draining; it still serves requests. */
+    void startDraining() {
+        Incarnation draining = current;
+        if (draining != null) {
+            drainAcknowledgedAt.putIfAbsent(draining.id(), Long.MAX_VALUE / 2);
         }
     }
 
-    /** When the relay acknowledged that an incarnation leaves. */
-    Map<String, Long> leavingSince() {
-        return leavingSince;
+    /**
+     * Returns when the relay acknowledged the draining announcement, by incarnation; half of the
+     * maximum long value until then.
+     */
+    Map<String, Long> drainAcknowledgedAt() {
+        return drainAcknowledgedAt;
     }
 
     private void answer(Incarnation self, Request request, Connection connection)
             throws IOException, InterruptedException {
-        awaitThaw();
+        awaitUnfrozen();
         if (!self.slots().tryAcquire()) {
             UpstreamStandIn.answerNotRun(connection);
             return;
         }
         try {
-            ledger.ran(request.id(), new RunLedger.Run(relay, self.id(), clock.getAsLong()));
+            ledger.record(request.id(), new RunLedger.Run(relay, self.id(), clock.getAsLong()));
             Thread.sleep(
                     ThreadLocalRandom.current()
-                            .nextLong(SHORTEST_WORK_MILLISECONDS, LONGEST_WORK_MILLISECONDS));
-            awaitThaw();
+                            .nextLong(MINIMUM_SERVICE_MILLISECONDS, MAXIMUM_SERVICE_MILLISECONDS));
+            awaitUnfrozen();
             UpstreamStandIn.answerOk(request, connection);
         } finally {
             self.slots().release();
         }
     }
 
-    private void awaitThaw() throws InterruptedException {
-        synchronized (thaw) {
+    private void awaitUnfrozen() throws InterruptedException {
+        synchronized (freezeLock) {
             while (frozen) {
-                thaw.wait();
+                freezeLock.wait();
             }
         }
     }
 
     private void announce(Incarnation self) {
         try {
-            for (long sequence = 1; self.equals(present); sequence++) {
-                awaitThaw();
-                boolean leaving = leavingSince.containsKey(self.id());
-                boolean acknowledged = send(self, sequence, leaving ? "draining" : "ready");
-                if (leaving && acknowledged) {
-                    leavingSince.merge(self.id(), clock.getAsLong(), Math::min);
+            for (long sequence = 1; self.equals(current); sequence++) {
+                awaitUnfrozen();
+                boolean draining = drainAcknowledgedAt.containsKey(self.id());
+                boolean acknowledged = send(self, sequence, draining ? "draining" : "ready");
+                if (draining && acknowledged) {
+                    drainAcknowledgedAt.merge(self.id(), clock.getAsLong(), Math::min);
                 }
-                Thread.sleep(ANNOUNCE_EVERY_MILLISECONDS);
+                Thread.sleep(ANNOUNCEMENT_INTERVAL_MILLISECONDS);
             }
         } catch (InterruptedException ended) {
             Thread.currentThread().interrupt();
@@ -146,9 +150,15 @@
     private boolean send(Incarnation self, long sequence, String state) {
         try {
             return AnnouncementClient.announce(
-                            announcements, "books", self.id(), self.born(), sequence, state, SLOTS)
+                            announcements,
+                            "books",
+                            self.id(),
+                            self.startedAt(),
+                            sequence,
+                            state,
+                            SLOTS)
                     == OK;
-        } catch (IOException relayIsAway) {
+        } catch (IOException relayUnreachable) {
             return false;
         }
     }
--- a/soak/src/main/java/org/damaskmoor/soak/fault/FaultyLink.java
+++ b/soak/src/main/java/org/damaskmoor/soak/fault/FaultInjectingProxy.java
@@ -14,17 +14,17 @@
 import java.util.function.LongSupplier;
 
 /**
- * A proxy on loopback between a program and one address that it connects to, whose connections can
- * be delayed, reset, cut one way or silenced.
+ * A loopback TCP proxy in front of one server whose connections can be delayed, reset, cut in one
+ * direction or silenced.
  *
- * <p>Thread-safe. Invariant: a connection that lost bytes stays silent until it is closed, also
- * after the fault has ended; connections that are opened later work.
+ * <p>Thread-safe. Invariant: a connection that lost bytes stays silent until it is closed, even
+ * after the fault has ended; connections opened later work.
  */
-public final class FaultyLink implements AutoCloseable {
+public final class FaultInjectingProxy implements AutoCloseable {
     private static final int BUFFER_BYTES = 16 * 1024;
     private static final int BACKLOG = 100;
 
-    /** What happens to bytes. */
+    /** What the proxy does with the bytes that it receives. */
     public enum Mode {
         PASS,
         DELAY,
@@ -35,29 +35,30 @@
 
     private final InetSocketAddress server;
     private final LongSupplier clock;
-    private final Map<Integer, Long> passedOnAt = new ConcurrentHashMap<>();
-    private final ServerSocket listening;
+    private final Map<Integer, Long> lastForwardedAt = new ConcurrentHashMap<>();
+    private final ServerSocket listener;
     private final List<Connection> connections = new CopyOnWriteArrayList<>();
     private volatile Mode mode = Mode.PASS;
     private volatile long delayMilliseconds;
 
-    /** Opens the proxy; the server need not be there yet. */
-    public FaultyLink(InetSocketAddress address, InetSocketAddress server, LongSupplier clock)
+    /** Opens the proxy; the server does not have to be running yet. */
+    public FaultInjectingProxy(
+            InetSocketAddress address, InetSocketAddress server, LongSupplier clock)
             throws IOException {
         this.server = server;
         this.clock = clock;
-        this.listening = new ServerSocket();
-        listening.bind(address, BACKLOG);
+        this.listener = new ServerSocket();
+        listener.bind(address, BACKLOG);
         start("accept", this::accept);
     }
 
-    /** Where programs connect to. */
+    /** Returns the address that clients connect to. */
     public InetSocketAddress address() {
-        return new InetSocketAddress(InetAddress.getLoopbackAddress(), listening.getLocalPort());
+        return new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.getLocalPort());
     }
 
-    /** Begins a fault, or ends the present one with {@link Mode#PASS}. */
-    public void mode(Mode newMode, long newDelayMilliseconds) {
+    /** Starts a fault, or ends the current one with {@link Mode#PASS}. */
+    public void setMode(Mode newMode, long newDelayMilliseconds) {
         delayMilliseconds = newDelayMilliseconds;
         mode = newMode;
         if (newMode == Mode.RESET) {
@@ -65,9 +66,12 @@
         }
     }
 
-    /** When bytes of the client on a port last reached the server, by the clock; 0 for never. */
-    public long passedOnAt(int clientPort) {
-        return passedOnAt.getOrDefault(clientPort, 0L);
+    /**
+     * Returns when bytes from the client on the given port were last forwarded to the server, or 0
+     * if never.
+     */
+    public long lastForwardedAt(int clientPort) {
+        return lastForwardedAt.getOrDefault(clientPort, 0L);
     }
 
     private static void start(String name, Runnable task) {
@@ -77,9 +81,9 @@
     }
 
     private void accept() {
-        while (!listening.isClosed()) {
+        while (!listener.isClosed()) {
             try {
-                open(listening.accept());
+                open(listener.accept());
             } catch (IOException closed) {
                 return;
             }
@@ -93,12 +97,12 @@
             connection.reset();
             return;
         }
-        start("there", connection::there);
+        start("there", connection::forwardToServer);
     }
 
     @Override
     public void close() throws IOException {
-        listening.close();
+        listener.close();
         connections.forEach(Connection::reset);
     }
 
@@ -112,7 +116,7 @@
             this.upstream = upstream;
         }
 
-        void there() {
+        void forwardToServer() {
             try {
                 client.setTcpNoDelay(true);
                 upstream.setTcpNoDelay(true);
@@ -121,26 +125,26 @@
                 reset();
                 return;
             }
-            start("back", () -> pump(upstream, client, Mode.ONE_WAY));
-            pump(client, upstream, Mode.SILENT);
+            start("back", () -> copy(upstream, client, Mode.ONE_WAY));
+            copy(client, upstream, Mode.SILENT);
         }
 
-        /** Copies one direction; bytes are lost in the given mode, and when all is silent. */
-        private void pump(Socket from, Socket to, Mode losing) {
+        /** Copies one direction; drops bytes in the given mode and in {@link Mode#SILENT}. */
+        private void copy(Socket from, Socket to, Mode losingMode) {
             byte[] buffer = new byte[BUFFER_BYTES];
             try {
                 InputStream input = from.getInputStream();
                 OutputStream output = to.getOutputStream();
                 int count = input.read(buffer);
                 while (count >= 0) {
-                    Mode present = mode;
-                    if (present == Mode.DELAY) {
+                    Mode current = mode;
+                    if (current == Mode.DELAY) {
                         Thread.sleep(delayMilliseconds);
                     }
-                    lostBytes |= present == losing || present == Mode.SILENT;
+                    lostBytes |= current == losingMode || current == Mode.SILENT;
                     if (!lostBytes) {
                         output.write(buffer, 0, count);
-                        notePassed(to);
+                        recordForwarded(to);
                     }
                     count = input.read(buffer);
                 }
@@ -157,9 +161,9 @@
             }
         }
 
-        private void notePassed(Socket to) {
+        private void recordForwarded(Socket to) {
             if (to == upstream) {
-                passedOnAt.put(client.getPort(), clock.getAsLong());
+                lastForwardedAt.put(client.getPort(), clock.getAsLong());
             }
         }
 
@@ -173,8 +177,8 @@
             try {
                 socket.setSoLinger(true, 0);
                 socket.close();
-            } catch (IOException closedBefore) {
-                // Nothing is left to close.
+            } catch (IOException alreadyClosed) {
+                // The socket is already closed.
             }
         }
     }
--- a/soak/src/main/java/org/damaskmoor/soak/fault/FaultKind.java
+++ b/soak/src/main/java/org/damaskmoor/soak/fault/FaultKind.java
@@ -1,6 +1,6 @@
 package org.damaskmoor.soak.fault;
 
-/** What goes wrong. */
+/** The kinds of fault that a soak run can inject. */
 public enum FaultKind {
     KILL_RELAY,
     PAUSE_RELAY,
--- /dev/null
+++ b/soak/src/main/java/org/damaskmoor/soak/fault/FaultPlanner.java
@@ -0,0 +1,52 @@
+package org.damaskmoor.soak.fault;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.random.RandomGenerator;
+
+/**
+ * Plans faults in advance, as series of overlapping faults at random times.
+ *
+ * <p>Invariant: the same random numbers give the same plan. Not thread-safe.
+ */
+public final class FaultPlanner {
+    private static final double MEAN_SERIES_INTERVAL_MILLISECONDS = 2000;
+    private static final int MAXIMUM_SERIES_LENGTH = 4;
+    private static final long SERIES_WINDOW_MILLISECONDS = 900;
+    private static final double MINIMUM_DURATION_MILLISECONDS = 100;
+    private static final double MAXIMUM_DURATION_MILLISECONDS = 5000;
+
+    private final RandomGenerator random;
+
+    public FaultPlanner(RandomGenerator random) {
+        this.random = random;
+    }
+
+    /** Returns the faults for a load of the given length, ordered by start time. */
+    public List<PlannedFault> plan(long milliseconds) {
+        List<PlannedFault> faults = new ArrayList<>();
+        double start = random.nextExponential() * MEAN_SERIES_INTERVAL_MILLISECONDS;
+        while (start < milliseconds) {
+            int count = 1 + random.nextInt(MAXIMUM_SERIES_LENGTH);
+            for (int i = 0; i < count; i++) {
+                faults.add(fault((long) start + random.nextLong(SERIES_WINDOW_MILLISECONDS)));
+            }
+            start += random.nextExponential() * MEAN_SERIES_INTERVAL_MILLISECONDS;
+        }
+        faults.sort(Comparator.comparingLong(PlannedFault::startMilliseconds));
+        return faults;
+    }
+
+    private PlannedFault fault(long start) {
+        FaultKind[] kinds = FaultKind.values();
+        double interval = Math.log(MAXIMUM_DURATION_MILLISECONDS / MINIMUM_DURATION_MILLISECONDS);
+        long duration =
+                (long) (MINIMUM_DURATION_MILLISECONDS * Math.exp(random.nextDouble() * interval));
+        return new PlannedFault(
+                kinds[random.nextInt(kinds.length)],
+                random.nextInt(Integer.MAX_VALUE),
+                start,
+                duration);
+    }
+}
--- a/soak/src/main/java/org/damaskmoor/soak/fault/PlannedFault.java
+++ b/soak/src/main/java/org/damaskmoor/soak/fault/PlannedFault.java
@@ -1,12 +1,12 @@
 package org.damaskmoor.soak.fault;
 
 /**
- * One fault as it is planned. Immutable and thread-safe.
+ * A planned fault. Immutable and thread-safe.
  *
- * @param kind what goes wrong
- * @param subject chooses the relay that it happens to
- * @param startMilliseconds when, from the begin of the load
- * @param durationMilliseconds how long
+ * @param kind which fault to inject
+ * @param subject selects the affected relay; reduced modulo the number of relays
+ * @param startMilliseconds start, in milliseconds since the start of the load
+ * @param durationMilliseconds how long the fault lasts
  */
 public record PlannedFault(
         FaultKind kind, int subject, long startMilliseconds, long durationMilliseconds) {}
--- a/soak/src/test/java/org/damaskmoor/soak/fault/FaultyLinkTest.java
+++ b/soak/src/test/java/org/damaskmoor/soak/fault/FaultInjectingProxyTest.java
@@ -9,28 +9,28 @@
 import java.net.SocketTimeoutException;
 import org.damaskmoor.platform.standin.RawCaller;
 import org.damaskmoor.platform.standin.UpstreamStandIn;
-import org.damaskmoor.soak.fault.FaultyLink.Mode;
+import org.damaskmoor.soak.fault.FaultInjectingProxy.Mode;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-class FaultyLinkTest {
-    private static final int PATIENCE_MILLISECONDS = 300;
+class FaultInjectingProxyTest {
+    private static final int READ_TIMEOUT_MILLISECONDS = 300;
     private static final long DELAY_MILLISECONDS = 60;
 
     private UpstreamStandIn upstream;
-    private FaultyLink link;
+    private FaultInjectingProxy proxy;
 
     @BeforeEach
     void start() throws IOException {
         upstream = new UpstreamStandIn();
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        link = new FaultyLink(any, upstream.address(), System::nanoTime);
+        proxy = new FaultInjectingProxy(any, upstream.address(), System::nanoTime);
     }
 
     @AfterEach
     void stop() throws IOException {
-        link.close();
+        proxy.close();
         upstream.close();
     }
 
@@ -42,24 +42,24 @@
     }
 
     @Test
-    void should_tell_when_a_request_had_reached_the_server() throws IOException {
+    void should_report_when_bytes_were_last_forwarded_to_the_server() throws IOException {
         try (RawCaller caller = caller()) {
             // given
-            assertThat(link.passedOnAt(caller.localPort())).isEqualTo(0);
+            assertThat(proxy.lastForwardedAt(caller.localPort())).isEqualTo(0);
             long before = System.nanoTime();
 
             // when
             ask(caller, "r1");
 
             // then
-            assertThat(link.passedOnAt(caller.localPort())).isGreaterThan(before);
+            assertThat(proxy.lastForwardedAt(caller.localPort())).isGreaterThan(before);
         }
     }
 
     @Test
     void should_delay_bytes() throws IOException {
         // given
-        link.mode(Mode.DELAY, DELAY_MILLISECONDS);
+        proxy.setMode(Mode.DELAY, DELAY_MILLISECONDS);
         long asked = System.nanoTime();
 
         // when
@@ -73,12 +73,12 @@
     }
 
     @Test
-    void should_end_open_connections_when_it_resets() throws IOException {
+    void should_close_open_connections_when_reset() throws IOException {
         try (RawCaller caller = caller()) {
             ask(caller, "r1");
 
             // when
-            link.mode(Mode.RESET, 0);
+            proxy.setMode(Mode.RESET, 0);
 
             // then
             assertThrows(IOException.class, () -> ask(caller, "r2"));
@@ -86,9 +86,9 @@
     }
 
     @Test
-    void should_lose_only_answers_when_cut_one_way() throws Exception {
+    void should_drop_only_answers_when_cut_one_way() throws Exception {
         // given
-        link.mode(Mode.ONE_WAY, 0);
+        proxy.setMode(Mode.ONE_WAY, 0);
 
         // when
         try (RawCaller caller = caller()) {
@@ -100,12 +100,12 @@
     }
 
     @Test
-    void should_keep_a_silenced_connection_silent_and_let_new_ones_work() throws IOException {
+    void should_keep_a_silenced_connection_silent_and_serve_new_ones() throws IOException {
         try (RawCaller former = caller()) {
             // given
-            link.mode(Mode.SILENT, 0);
+            proxy.setMode(Mode.SILENT, 0);
             assertThrows(SocketTimeoutException.class, () -> ask(former, "r1"));
-            link.mode(Mode.PASS, 0);
+            proxy.setMode(Mode.PASS, 0);
 
             // when
             assertThrows(SocketTimeoutException.class, () -> ask(former, "r2"));
@@ -118,7 +118,7 @@
     }
 
     private RawCaller caller() throws IOException {
-        return new RawCaller(link.address(), PATIENCE_MILLISECONDS);
+        return new RawCaller(proxy.address(), READ_TIMEOUT_MILLISECONDS);
     }
 
     private static RawCaller.Answer ask(RawCaller caller, String id) throws IOException {
--- a/soak/src/test/java/org/damaskmoor/soak/fault/FaultPlanTest.java
+++ b/soak/src/test/java/org/damaskmoor/soak/fault/FaultPlannerTest.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class FaultPlanTest {
+class FaultPlannerTest {
     private static final long MINUTE_MILLISECONDS = 60_000;
 
     @Test
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void should_plan_each_kind_sooner_or_later() {
+    void should_plan_every_kind_over_several_seeds() {
         // when
         Set<FaultKind> kinds = EnumSet.noneOf(FaultKind.class);
         for (int seed = 0; seed < 10; seed++) {
@@ -45,6 +45,6 @@
     }
 
     private static List<PlannedFault> plan(long seed) {
-        return new FaultPlan(new SplittableRandom(seed)).plan(MINUTE_MILLISECONDS);
+        return new FaultPlanner(new SplittableRandom(seed)).plan(MINUTE_MILLISECONDS);
     }
 }
--- a/soak/src/test/java/org/damaskmoor/soak/promise/PromisesTest.java
+++ b/soak/src/test/java/org/damaskmoor/soak/verification/GuaranteeCheckerTest.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.soak.promise;
+package org.damaskmoor.soak.verification;
 
 import static com.google.common.truth.Truth.assertThat;
 
@@ -7,44 +7,44 @@
 import java.util.NavigableSet;
 import java.util.TreeSet;
 import java.util.function.LongConsumer;
-import org.damaskmoor.soak.promise.Disturbances.Part;
-import org.damaskmoor.soak.promise.Exchange.End;
-import org.damaskmoor.soak.promise.RunLedger.Run;
+import org.damaskmoor.soak.verification.DisturbanceLog.Component;
+import org.damaskmoor.soak.verification.Exchange.End;
+import org.damaskmoor.soak.verification.RunLedger.Run;
 import org.junit.jupiter.api.Test;
 
-class PromisesTest {
+class GuaranteeCheckerTest {
     private static final int RELAY = 3;
     private static final Run RUN = new Run(1, "upstream-1-1", 20_010);
     private static final Run OTHER_RUN = new Run(2, "upstream-2-1", 20_030);
 
-    private final Disturbances disturbances = new Disturbances();
+    private final DisturbanceLog disturbances = new DisturbanceLog();
     private final RunLedger ledger = new RunLedger();
-    private final Promises promises = new Promises(disturbances, ledger);
+    private final GuaranteeChecker checker = new GuaranteeChecker(disturbances, ledger);
 
     @Test
-    void should_find_an_order_that_ran_twice() {
+    void should_report_a_non_idempotent_request_that_ran_twice() {
         // given
-        ledger.ran("r1", RUN);
-        ledger.ran("r1", OTHER_RUN);
+        ledger.record("r1", RUN);
+        ledger.record("r1", OTHER_RUN);
 
         // then
         assertThat(kinds(order(End.ANSWERED, 200, true, 20_050))).containsExactly("RAN_TWICE");
     }
 
     @Test
-    void should_allow_a_read_to_run_twice() {
+    void should_allow_an_idempotent_request_to_run_twice() {
         // given
-        ledger.ran("r1", RUN);
-        ledger.ran("r1", OTHER_RUN);
+        ledger.record("r1", RUN);
+        ledger.record("r1", OTHER_RUN);
 
         // then
         assertThat(kinds(read(0, 20_000, End.ANSWERED, 200))).isEmpty();
     }
 
     @Test
-    void should_find_a_refusal_of_what_had_run() {
+    void should_report_a_not_run_answer_for_a_request_that_ran() {
         // given
-        ledger.ran("r1", RUN);
+        ledger.record("r1", RUN);
 
         // then
         assertThat(kinds(order(End.SAID_NOT_RUN, 503, true, 20_050)))
@@ -52,68 +52,68 @@
     }
 
     @Test
-    void should_find_an_answer_that_belongs_to_another_request() {
+    void should_report_an_answer_that_belongs_to_another_request() {
         assertThat(kinds(order(End.ANSWERED, 200, false, 20_050)))
                 .containsExactly("NOT_ITS_ANSWER");
     }
 
     @Test
-    void should_find_a_request_without_an_answer_at_an_undisturbed_relay() {
+    void should_report_a_missing_answer_from_an_undisturbed_relay() {
         assertThat(kinds(order(End.CLOSED, 0, true, 20_050))).containsExactly("UNANSWERED");
         assertThat(kinds(order(End.NO_ANSWER, 0, true, 30_000))).containsExactly("UNANSWERED");
     }
 
     @Test
-    void should_allow_no_answer_from_a_relay_that_was_killed() {
+    void should_allow_a_missing_answer_from_a_killed_relay() {
         // given
-        disturbances.begin(Part.PROCESS, RELAY, 20_020);
+        disturbances.begin(Component.PROCESS, RELAY, 20_020);
 
         // then
         assertThat(kinds(order(End.CLOSED, 0, true, 20_050))).isEmpty();
     }
 
     @Test
-    void should_not_excuse_a_relay_by_a_disturbance_of_another() {
+    void should_not_excuse_a_relay_by_a_disturbance_of_another_relay() {
         // given
-        disturbances.begin(Part.PROCESS, RELAY + 1, 20_020);
+        disturbances.begin(Component.PROCESS, RELAY + 1, 20_020);
 
         // then
         assertThat(kinds(order(End.CLOSED, 0, true, 20_050))).containsExactly("UNANSWERED");
     }
 
     @Test
-    void should_find_a_request_that_a_planned_stop_lost() {
+    void should_report_a_request_that_a_planned_stop_lost() {
         // given
-        disturbances.begin(Part.PLANNED_STOP, RELAY, 19_000);
+        disturbances.begin(Component.PLANNED_STOP, RELAY, 19_000);
 
-        // then a request that just came may be lost, but not one that ran or waited
+        // then a request that has just arrived may be lost, but not one that ran or was queued
         assertThat(kinds(order(End.CLOSED, 0, true, 20_150))).isEmpty();
         assertThat(kinds(order(End.CLOSED, 0, true, 20_300))).containsExactly("UNANSWERED");
-        ledger.ran("r1", RUN);
+        ledger.record("r1", RUN);
         assertThat(kinds(order(End.CLOSED, 0, true, 20_150))).containsExactly("UNANSWERED");
     }
 
     @Test
-    void should_find_a_route_that_is_missing_too_long_after_a_change() {
-        assertThat(outdated(10_000, read(5, 12_400, End.ANSWERED, 404))).isEmpty();
-        assertThat(outdated(10_000, read(5, 12_600, End.ANSWERED, 404)))
+    void should_report_a_route_that_is_missing_after_the_propagation_limit() {
+        assertThat(staleRoutes(10_000, read(5, 12_400, End.ANSWERED, 404))).isEmpty();
+        assertThat(staleRoutes(10_000, read(5, 12_600, End.ANSWERED, 404)))
                 .containsExactly("OUTDATED");
     }
 
     @Test
-    void should_not_expect_a_change_while_the_store_is_away() {
+    void should_not_expect_propagation_while_the_store_is_disturbed() {
         // given
-        LongConsumer end = disturbances.begin(Part.STORE, 0, 9000);
+        LongConsumer end = disturbances.begin(Component.STORE, 0, 9000);
         end.accept(11_000);
 
         // then
-        assertThat(outdated(10_000, read(5, 12_600, End.ANSWERED, 404))).isEmpty();
+        assertThat(staleRoutes(10_000, read(5, 12_600, End.ANSWERED, 404))).isEmpty();
     }
 
     @Test
-    void should_find_a_relay_that_steps_back() {
+    void should_report_a_relay_that_returns_to_an_older_version() {
         assertThat(
-                        outdated(
+                        staleRoutes(
                                 10_000,
                                 read(5, 10_500, End.ANSWERED, 200),
                                 read(5, 11_000, End.ANSWERED, 404)))
@@ -121,9 +121,9 @@
     }
 
     @Test
-    void should_not_take_a_refusal_before_the_first_configuration_for_a_sign_of_a_version() {
+    void should_not_count_a_503_before_the_first_configuration_as_serving_a_version() {
         assertThat(
-                        outdated(
+                        staleRoutes(
                                 10_000,
                                 read(5, 10_100, End.SAID_NOT_RUN, 503),
                                 read(5, 10_500, End.ANSWERED, 404)))
@@ -131,24 +131,24 @@
     }
 
     @Test
-    void should_find_a_run_after_an_upstream_had_left() {
+    void should_report_a_run_after_the_drain_grace_period() {
         // given
-        ledger.ran("r1", RUN);
+        ledger.record("r1", RUN);
 
         // then
-        assertThat(promises.afterLeaving(Map.of("upstream-1-1", 18_000L))).isEmpty();
-        assertThat(promises.afterLeaving(Map.of("upstream-1-1", 17_000L))).hasSize(1);
+        assertThat(checker.callsAfterDrain(Map.of("upstream-1-1", 18_000L))).isEmpty();
+        assertThat(checker.callsAfterDrain(Map.of("upstream-1-1", 17_000L))).hasSize(1);
     }
 
     private List<String> kinds(Exchange exchange) {
-        return names(promises.broken(List.of(exchange)));
+        return names(checker.violations(List.of(exchange)));
     }
 
-    private List<String> outdated(long acknowledged, Exchange... exchanges) {
+    private List<String> staleRoutes(long storedAt, Exchange... exchanges) {
         NavigableSet<Long> started = new TreeSet<>(List.of(1000L));
         return names(
-                promises.outdated(
-                        List.of(exchanges), Map.of(5, acknowledged), Map.of(RELAY, started)));
+                checker.staleRoutes(
+                        List.of(exchanges), Map.of(5, storedAt), Map.of(RELAY, started)));
     }
 
     private static List<String> names(List<String> lines) {
