--- a/bench/src/main/java/org/damaskmoor/bench/BenchMain.java
+++ b/bench/src/main/java/org/damaskmoor/bench/BenchMain.java
@@ -12,8 +12,8 @@
 import org.damaskmoor.bench.experiment.ExperimentCommand;
 import org.damaskmoor.bench.link.EmulatedNode;
 import org.damaskmoor.bench.platform.PlatformStandInCommand;
+import org.damaskmoor.bench.soak.PropagationCommand;
 import org.damaskmoor.bench.soak.SoakCommand;
-import org.damaskmoor.bench.soak.SpreadCommand;
 import org.damaskmoor.bench.upstream.UpstreamStandInCommand;
 import org.damaskmoor.mesh.ChannelCustomizer;
 import org.damaskmoor.node.NodeMain;
@@ -60,7 +60,7 @@
                 .withCommand(DemoCommand.class)
                 .withCommand(LoadCommand.class)
                 .withCommand(SoakCommand.class)
-                .withCommand(SpreadCommand.class)
+                .withCommand(PropagationCommand.class)
                 .withCommand(ExperimentCommand.class)
                 .withCommand(AddedLatencyCommand.class)
                 .withCommand(PlatformStandInCommand.class)
--- a/bench/src/main/java/org/damaskmoor/bench/http/BlockingClient.java
+++ b/bench/src/main/java/org/damaskmoor/bench/http/BlockingClient.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.ExecutionException;
 
 /**
- * A client whose calls wait for the answer: for control calls outside any measurement.
+ * A blocking HTTP client for control calls that are not part of a measurement.
  *
- * <p>Thread safe; the calls may not come from its own event loop.
+ * <p>Thread safe; must not be called from its own event loop.
  */
 public final class BlockingClient implements AutoCloseable {
     private final Eventloop eventLoop = Eventloop.create();
@@ -37,11 +37,13 @@
         return call(HttpRequest.post(url).withBody(body).build());
     }
 
-    /** Sends a PUT that takes effect only when nothing stands there, and returns the answer. */
+    /**
+     * Sends a PUT that takes effect only if the resource does not exist, and returns the answer.
+     */
     public Reply create(String url, ByteString body) throws IOException {
         return call(
                 HttpRequest.put(url)
-                        .withHeader(Fields.IF_NONE_MATCH, "*")
+                        .withHeader(HttpFields.IF_NONE_MATCH, "*")
                         .withBody(body.toByteArray())
                         .build());
     }
@@ -59,7 +61,7 @@
     }
 
     private static io.activej.promise.Promise<Reply> read(HttpResponse response) {
-        Optional<String> outcome = Optional.ofNullable(response.getHeader(Fields.OUTCOME));
+        Optional<String> outcome = Optional.ofNullable(response.getHeader(HttpFields.OUTCOME));
         return response.loadBody()
                 .map(buffer -> buffer.getArray())
                 .map(bytes -> ByteString.copyFrom(bytes))
--- a/bench/src/main/java/org/damaskmoor/bench/http/EventLoopServer.java
+++ b/bench/src/main/java/org/damaskmoor/bench/http/EventLoopServer.java
@@ -15,8 +15,8 @@
 /**
  * An HTTP server with one event loop on its own thread, bound to the loopback address.
  *
- * <p>Invariants: all servlet calls and everything given to {@link #eventLoop()} run on that one
- * thread. Thread safety: the methods of this class may be called from any other thread.
+ * <p>Invariants: all servlet calls and all tasks submitted to {@link #eventLoop()} run on that
+ * thread. The methods of this class may be called from any other thread.
  */
 public final class EventLoopServer implements AutoCloseable {
     private static final Duration KEEP_ALIVE = Duration.ofSeconds(60);
@@ -28,9 +28,9 @@
     /**
      * Binds the port and starts serving.
      *
-     * @param port the port, 0 for any free one
-     * @param servlet makes the servlet for the event loop it will run on
-     * @throws IOException when the port can't be bound
+     * @param port the port; 0 for any free port
+     * @param servlet creates the servlet for the event loop that runs it
+     * @throws IOException if the port cannot be bound
      */
     public EventLoopServer(String name, int port, Function<Eventloop, AsyncServlet> servlet)
             throws IOException {
@@ -68,7 +68,7 @@
         return Promise.of(Reply.of(status, String.valueOf(cause.getMessage())).toResponse());
     }
 
-    /** Returns the event loop that serves. */
+    /** Returns the event loop that runs the servlet. */
     public Eventloop eventLoop() {
         return eventLoop;
     }
--- a/bench/src/main/java/org/damaskmoor/bench/http/Fields.java
+++ b/bench/src/main/java/org/damaskmoor/bench/http/HttpFields.java
@@ -3,8 +3,8 @@
 import io.activej.http.HttpHeader;
 import io.activej.http.HttpHeaders;
 
-/** HTTP fields that the stand-ins and the callers use. Constants only. */
-public final class Fields {
+/** HTTP header fields used by the stand-ins and the callers. */
+public final class HttpFields {
     public static final HttpHeader NONCE = HttpHeaders.of("Nonce");
     public static final HttpHeader OUTCOME = HttpHeaders.of("Damaskmoor-Outcome");
     public static final HttpHeader CALLER = HttpHeaders.of("Damaskmoor-Caller");
@@ -17,5 +17,5 @@
     public static final String NOT_RUN = "not-run";
     public static final String UNKNOWN = "unknown";
 
-    private Fields() {}
+    private HttpFields() {}
 }
--- a/bench/src/main/java/org/damaskmoor/bench/http/JsonObject.java
+++ b/bench/src/main/java/org/damaskmoor/bench/http/JsonObject.java
@@ -10,16 +10,15 @@
 import java.util.Map;
 
 /**
- * A JSON object that is read by name or built by chained calls.
+ * A JSON object with access by member name and a fluent builder.
  *
  * <pre>{@code
  * JsonObject.parse("{\"mode\": \"slow\"}").text("mode", "none");
  * new JsonObject().with("runs", 2).toString();
  * }</pre>
  *
- * <p>Parsing is protobuf's; writing is done here because protobuf writes every number with a
- * fraction. Invariant: values are text, numbers, truth values, lists of these, or objects. Not
- * thread safe.
+ * <p>Parsing uses protobuf; writing does not, because protobuf writes every number with a fraction.
+ * Invariant: values are strings, numbers, booleans, lists of these, or objects. Not thread safe.
  */
 public final class JsonObject {
     private final Map<String, Object> members = new LinkedHashMap<>();
@@ -62,7 +61,7 @@
         return this;
     }
 
-    /** Returns true when there is such a member. */
+    /** Returns whether the member exists. */
     public boolean has(String name) {
         return members.containsKey(name);
     }
@@ -72,27 +71,27 @@
         return List.copyOf(members.keySet());
     }
 
-    /** Returns the number at the given name, or the other value when there is none. */
+    /** Returns the numeric member, or the default if there is none. */
     public double number(String name, double otherwise) {
         return members.get(name) instanceof Number found ? found.doubleValue() : otherwise;
     }
 
-    /** Returns the text at the given name, or the other value when there is none. */
+    /** Returns the string member, or the default if there is none. */
     public String text(String name, String otherwise) {
         return members.get(name) instanceof String found ? found : otherwise;
     }
 
-    /** Returns the truth value at the given name, false when there is none. */
+    /** Returns the boolean member, or false if there is none. */
     public boolean flag(String name) {
         return Boolean.TRUE.equals(members.get(name));
     }
 
-    /** Returns the object at the given name, an empty one when there is none. */
+    /** Returns the object member, or an empty object if there is none. */
     public JsonObject object(String name) {
         return members.get(name) instanceof JsonObject found ? found : new JsonObject();
     }
 
-    /** Returns the elements of the list at the given name that have the given type. */
+    /** Returns the elements of the list member that have the given type. */
     public <T> List<T> list(String name, Class<T> type) {
         List<T> found = new ArrayList<>();
         if (members.get(name) instanceof List<?> elements) {
--- a/bench/src/main/java/org/damaskmoor/bench/http/LoopbackClient.java
+++ b/bench/src/main/java/org/damaskmoor/bench/http/LoopbackClient.java
@@ -8,14 +8,14 @@
 import io.activej.reactor.nio.NioReactor;
 import java.time.Duration;
 
-/** Makes HTTP clients that speak to IP numbers only. Stateless and safe for all threads. */
+/** Creates HTTP clients that accept only literal IP addresses. Stateless and thread safe. */
 public final class LoopbackClient {
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
     private static final Duration KEEP_ALIVE = Duration.ofSeconds(10);
 
     private LoopbackClient() {}
 
-    /** Returns a client on the reactor that gives up on an answer after the given time. */
+    /** Returns a client on the reactor with the given read timeout. */
     public static HttpClient create(NioReactor reactor, Duration readTimeout) {
         return HttpClient.builder(reactor, new LiteralAddresses())
                 .withConnectTimeout(CONNECT_TIMEOUT)
@@ -24,20 +24,21 @@
                 .build();
     }
 
-    /** Resolves IP numbers; a name fails. */
+    /** Resolves literal IP addresses; host names fail. */
     private static final class LiteralAddresses implements IDnsClient {
         @Override
         public Promise<DnsResponse> resolve(DnsQuery query) {
             DnsResponse response = IDnsClient.resolveFromQuery(query);
             return response == null
                     ? Promise.ofException(
-                            new IllegalArgumentException("not an IP number: " + query))
+                            new IllegalArgumentException(
+                                    "host must be a literal IP address: " + query))
                     : Promise.of(response);
         }
 
         @Override
         public void close() {
-            // Nothing is held.
+            // No resources to release.
         }
     }
 }
--- a/bench/src/main/java/org/damaskmoor/bench/http/Reply.java
+++ b/bench/src/main/java/org/damaskmoor/bench/http/Reply.java
@@ -5,10 +5,10 @@
 import java.util.Optional;
 
 /**
- * What a stand-in answers, apart from any HTTP library. Immutable.
+ * The answer of a stand-in, independent of the HTTP library. Immutable.
  *
  * @param status the HTTP status
- * @param body the whole body
+ * @param body the complete body
  * @param entityTag the version of the row, without quotes
  * @param outcome the value of Damaskmoor-Outcome
  */
@@ -25,12 +25,12 @@
         return new Reply(status, body, Optional.empty(), Optional.empty());
     }
 
-    /** Returns a reply with a text. */
+    /** Returns a reply with a UTF-8 text body. */
     public static Reply of(int status, String text) {
         return of(status, ByteString.copyFromUtf8(text));
     }
 
-    /** Returns this reply with the version of a row. */
+    /** Returns this reply with the given entity tag. */
     public Reply withEntityTag(String tag) {
         return new Reply(status, body, Optional.of(tag), outcome);
     }
@@ -40,11 +40,11 @@
         return new Reply(status, body, entityTag, Optional.of(value));
     }
 
-    /** Returns this reply as an answer of the HTTP server. */
+    /** Converts this reply to a response of the HTTP server. */
     public HttpResponse toResponse() {
         HttpResponse.Builder builder = HttpResponse.ofCode(status);
-        entityTag.ifPresent(tag -> builder.withHeader(Fields.E_TAG, '"' + tag + '"'));
-        outcome.ifPresent(value -> builder.withHeader(Fields.OUTCOME, value));
+        entityTag.ifPresent(tag -> builder.withHeader(HttpFields.E_TAG, '"' + tag + '"'));
+        outcome.ifPresent(value -> builder.withHeader(HttpFields.OUTCOME, value));
         return builder.withBody(body.toByteArray()).build();
     }
 }
--- a/bench/src/main/java/org/damaskmoor/bench/link/DatagramLinkHandler.java
+++ b/bench/src/main/java/org/damaskmoor/bench/link/DatagramLinkHandler.java
@@ -12,10 +12,11 @@
 import java.util.function.LongSupplier;
 
 /**
- * Emulates the links under a datagram channel: delays each packet by the link to its recipient.
+ * Emulates network links for a datagram channel: delays each packet by the delay of the link to its
+ * recipient.
  *
- * <p>Invariant: a cut link drops packets and tells nobody. Not thread safe: the channel's event
- * loop owns it.
+ * <p>Invariant: a cut link drops packets silently. Not thread safe: confined to the channel's event
+ * loop.
  */
 public final class DatagramLinkHandler extends ChannelOutboundHandlerAdapter {
     private final Function<InetSocketAddress, Optional<LinkPair>> links;
@@ -39,7 +40,7 @@
         }
     }
 
-    @SuppressWarnings("FutureReturnValueIgnored") // The promise tells the outcome.
+    @SuppressWarnings("FutureReturnValueIgnored") // The promise reports the outcome.
     private void send(
             ChannelHandlerContext context,
             DatagramPacket packet,
--- a/bench/src/main/java/org/damaskmoor/bench/link/DelayLine.java
+++ b/bench/src/main/java/org/damaskmoor/bench/link/DelayLine.java
@@ -7,10 +7,10 @@
 import java.util.function.LongSupplier;
 
 /**
- * Holds a channel's steps back for the time that a link takes, and runs them in order.
+ * Delays the operations of a channel by the transfer time of a link and runs them in order.
  *
- * <p>Invariant: a step never runs before one that was added earlier; while the link is cut none
- * runs. Not thread safe: the channel's event loop owns it.
+ * <p>Invariant: an operation never runs before one that was added earlier, and none runs while the
+ * link is cut. Not thread safe: confined to the channel's event loop.
  */
 final class DelayLine {
     private static final long CUT_POLL_NANOSECONDS = TimeUnit.MILLISECONDS.toNanos(50);
@@ -29,13 +29,13 @@
         this.nanoseconds = nanoseconds;
     }
 
-    /** Runs the action when so many bytes, sent now, have crossed the link. */
+    /** Runs the action once the given number of bytes, sent now, would have crossed the link. */
     void add(int bytes, Runnable action) {
         steps.add(new Step(link.arrival(nanoseconds.getAsLong(), bytes), action));
         schedule();
     }
 
-    /** Runs everything that is held, at once. */
+    /** Runs all pending actions immediately. */
     void drain() {
         while (!steps.isEmpty()) {
             steps.remove().action().run();
@@ -55,7 +55,8 @@
         schedule(link.profile().cut() ? CUT_POLL_NANOSECONDS : Math.max(0, wait));
     }
 
-    @SuppressWarnings("FutureReturnValueIgnored") // The step's own promise tells its outcome.
+    @SuppressWarnings(
+            "FutureReturnValueIgnored") // The operation's own promise reports its outcome.
     private void schedule(long wait) {
         executor.schedule(this::runDue, wait, TimeUnit.NANOSECONDS);
     }
--- a/bench/src/main/java/org/damaskmoor/bench/link/EmulatedNode.java
+++ b/bench/src/main/java/org/damaskmoor/bench/link/EmulatedNode.java
@@ -11,10 +11,10 @@
 import org.damaskmoor.bench.http.JsonObject;
 
 /**
- * Runs a node behind emulated links: {@code emulated-node --link-file=FILE} and the node's own
+ * Runs a node behind emulated links. The arguments are {@code --link-file=FILE} and the node's own
  * flags, each as {@code --flag=value}.
  *
- * <p>The link file is read again every 200 ms, so that links can be cut while the node runs.
+ * <p>The link file is reloaded every 200 ms, so that links can be cut while the node runs.
  * Immutable.
  */
 public final class EmulatedNode {
@@ -23,7 +23,7 @@
 
     private static final String LINK_FILE = "--link-file=";
     private static final String DATA_CENTRE = "--data-centre=";
-    private static final long READ_INTERVAL_MILLISECONDS = 200;
+    private static final long RELOAD_INTERVAL_MILLISECONDS = 200;
 
     private final NodeStarter node;
 
@@ -31,18 +31,18 @@
         this.node = node;
     }
 
-    /** Runs the node until it ends and returns its exit code. */
+    /** Runs the node until it exits and returns its exit code. */
     public int run(List<String> arguments) throws Exception {
         Path path = Path.of(value(arguments, LINK_FILE));
         LinkTable links =
                 new LinkTable(value(arguments, DATA_CENTRE), read(path), System::nanoTime);
         ScheduledExecutorService reader =
-                Executors.newSingleThreadScheduledExecutor(LinkReading::thread);
+                Executors.newSingleThreadScheduledExecutor(LinkFileReloader::thread);
         var reading =
                 reader.scheduleWithFixedDelay(
-                        new LinkReading(path, links),
-                        READ_INTERVAL_MILLISECONDS,
-                        READ_INTERVAL_MILLISECONDS,
+                        new LinkFileReloader(path, links),
+                        RELOAD_INTERVAL_MILLISECONDS,
+                        RELOAD_INTERVAL_MILLISECONDS,
                         TimeUnit.MILLISECONDS);
         List<String> flags = new ArrayList<>(arguments);
         flags.removeIf(argument -> argument.startsWith(LINK_FILE));
@@ -59,7 +59,10 @@
                 .filter(argument -> argument.startsWith(flag))
                 .map(argument -> argument.substring(flag.length()))
                 .findFirst()
-                .orElseThrow(() -> new IllegalArgumentException("missing " + flag + "VALUE"));
+                .orElseThrow(
+                        () ->
+                                new IllegalArgumentException(
+                                        "required flag is missing: " + flag + "VALUE"));
     }
 
     static LinkFile read(Path path) throws IOException {
--- a/bench/src/main/java/org/damaskmoor/bench/link/Link.java
+++ b/bench/src/main/java/org/damaskmoor/bench/link/Link.java
@@ -1,19 +1,19 @@
 package org.damaskmoor.bench.link;
 
 /**
- * One emulated link in one direction: a delay, a rate that it shares with other links, and faults.
+ * One direction of an emulated link, with a delay, a rate shared with other links, and faults.
  *
- * <p>Thread safe: channels of several event loops use it.
+ * <p>Thread safe: used by channels of several event loops.
  */
 public final class Link {
     /**
-     * How a link behaves.
+     * The behaviour of a link.
      *
-     * @param delayNanoseconds time one way
+     * @param delayNanoseconds one-way delay
      * @param bitsPerSecond rate, 0 for no limit
-     * @param cut true: nothing passes
-     * @param silences counts the silences so far; a channel opened before the last one is silent
-     *     for good
+     * @param cut whether the link passes nothing
+     * @param silences number of silences so far; a channel opened before the latest one stays
+     *     silent
      */
     public record Profile(long delayNanoseconds, long bitsPerSecond, boolean cut, int silences) {}
 
@@ -25,17 +25,20 @@
         this.profile = profile;
     }
 
-    /** Returns how the link behaves now. */
+    /** Returns the current behaviour. */
     public Profile profile() {
         return profile;
     }
 
-    /** Makes the link behave differently from now on. */
+    /** Replaces the behaviour. */
     public void change(Profile newProfile) {
         profile = newProfile;
     }
 
-    /** Sends so many bytes now and returns when they arrive, in the caller's nanoseconds. */
+    /**
+     * Sends the given number of bytes now and returns their arrival time on the caller's nanosecond
+     * clock.
+     */
     public long arrival(long nowNanoseconds, int bytes) {
         Profile current = profile;
         return rate.send(nowNanoseconds, bytes, current.bitsPerSecond())
--- a/bench/src/main/java/org/damaskmoor/bench/link/LinkFile.java
+++ b/bench/src/main/java/org/damaskmoor/bench/link/LinkFile.java
@@ -7,7 +7,7 @@
 import org.damaskmoor.bench.http.JsonObject;
 
 /**
- * What a link file says: where each port stands and how the links behave.
+ * The content of a link file: the data centre of each port and the behaviour of the links.
  *
  * <pre>{@code
  * {"data_centres": {"bern-nord": "mittelland", "spiez": "oberland"},
@@ -31,12 +31,14 @@
                 .forEach(port -> dataCentreByPort.put(Integer.valueOf(port), ports.text(port, "")));
     }
 
-    /** Returns the data centre in which the port stands, empty when the file does not say. */
+    /**
+     * Returns the data centre of the port, or an empty string if the file does not list the port.
+     */
     String dataCentre(int port) {
         return dataCentreByPort.getOrDefault(port, "");
     }
 
-    /** Returns how the link between two different data centres behaves. */
+    /** Returns the behaviour of the link between two different data centres. */
     Link.Profile profile(String from, String to) {
         String fromRegion = region(from);
         String toRegion = region(to);
@@ -55,8 +57,11 @@
                 silences(names));
     }
 
-    /** Returns the pair of places whose channels share one rate: regions if they differ. */
-    String sharedName(String from, String to) {
+    /**
+     * Returns the name of the group of channels that share one rate: the pair of regions if they
+     * differ, else the pair of data centres.
+     */
+    String rateGroup(String from, String to) {
         return region(from).equals(region(to)) ? from + "/" + to : region(from) + "/" + region(to);
     }
 
--- a/bench/src/main/java/org/damaskmoor/bench/link/LinkReading.java
+++ b/bench/src/main/java/org/damaskmoor/bench/link/LinkFileReloader.java
@@ -5,17 +5,17 @@
 import java.nio.file.Path;
 
 /**
- * Reads the link file again and changes the links.
+ * Reloads the link file and updates the links.
  *
- * <p>A file that can't be read leaves the links as they are. Run by one thread.
+ * <p>If the file cannot be read, the links stay unchanged. Run by one thread.
  */
-final class LinkReading implements Runnable {
+final class LinkFileReloader implements Runnable {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final Path path;
     private final LinkTable links;
 
-    LinkReading(Path path, LinkTable links) {
+    LinkFileReloader(Path path, LinkTable links) {
         this.path = path;
         this.links = links;
     }
--- a/bench/src/main/java/org/damaskmoor/bench/link/LinkRate.java
+++ b/bench/src/main/java/org/damaskmoor/bench/link/LinkRate.java
@@ -1,16 +1,20 @@
 package org.damaskmoor.bench.link;
 
 /**
- * What a narrow link can carry: bytes leave one after the other.
+ * The limited transmission rate of a link: bytes are serialized one after the other.
  *
- * <p>Invariant: the bytes of one call have left before those of the next start. Thread safe.
+ * <p>Invariant: the bytes of one call are transmitted completely before those of the next. Thread
+ * safe.
  */
 public final class LinkRate {
     private static final long NANOSECONDS_PER_SECOND = 1_000_000_000;
 
     private long freeAtNanoseconds = Long.MIN_VALUE;
 
-    /** Sends so many bytes; returns when the last has left. A rate of 0 is no limit. */
+    /**
+     * Sends the given number of bytes and returns when the last has been transmitted. A rate of 0
+     * means no limit.
+     */
     synchronized long send(long nowNanoseconds, int bytes, long bitsPerSecond) {
         if (bitsPerSecond == 0) {
             return nowNanoseconds;
--- a/bench/src/main/java/org/damaskmoor/bench/link/LinkTable.java
+++ b/bench/src/main/java/org/damaskmoor/bench/link/LinkTable.java
@@ -10,10 +10,10 @@
 import org.damaskmoor.mesh.ChannelCustomizer;
 
 /**
- * The emulated links of one process, to which it adds all its channels.
+ * The emulated links of one process; adds the link handlers to each of its channels.
  *
- * <p>Invariants: peers of one pair of regions share one rate; a new link file changes links that
- * are in use. Thread safe.
+ * <p>Invariants: connections between the same two regions share one rate; a new link file also
+ * affects links in use. Thread safe.
  */
 public final class LinkTable implements ChannelCustomizer {
     private final String ownDataCentre;
@@ -28,14 +28,14 @@
         this.nanoseconds = nanoseconds;
     }
 
-    /** Makes all links behave as the new file says. */
+    /** Applies a new link file to all links. */
     public void change(LinkFile newFile) {
         file = newFile;
         links.forEach(
                 (dataCentre, pair) -> pair.change(newFile.profile(ownDataCentre, dataCentre)));
     }
 
-    /** Returns the link to the address, empty when it is not emulated. */
+    /** Returns the link to the address, or empty if it is not emulated. */
     public Optional<LinkPair> find(InetSocketAddress remote) {
         String dataCentre = file.dataCentre(remote.getPort());
         if (dataCentre.isEmpty() || dataCentre.equals(ownDataCentre)) {
@@ -46,10 +46,10 @@
 
     private LinkPair open(String dataCentre) {
         Link.Profile profile = file.profile(ownDataCentre, dataCentre);
-        String shared = file.sharedName(ownDataCentre, dataCentre);
+        String group = file.rateGroup(ownDataCentre, dataCentre);
         return new LinkPair(
-                new Link(profile, rate(shared + " outgoing")),
-                new Link(profile, rate(shared + " incoming")));
+                new Link(profile, rate(group + " outgoing")),
+                new Link(profile, rate(group + " incoming")));
     }
 
     private LinkRate rate(String name) {
--- a/bench/src/main/java/org/damaskmoor/bench/link/NodeStarter.java
+++ b/bench/src/main/java/org/damaskmoor/bench/link/NodeStarter.java
@@ -7,10 +7,10 @@
 @FunctionalInterface
 public interface NodeStarter {
     /**
-     * Runs the node until it ends.
+     * Runs the node until it exits.
      *
      * @param flags the node's own flags
-     * @param customizer is given all channels between nodes
+     * @param customizer receives all channels between nodes
      * @return the node's exit code
      */
     int run(List<String> flags, ChannelCustomizer customizer) throws Exception;
--- a/bench/src/main/java/org/damaskmoor/bench/link/StreamLinkHandler.java
+++ b/bench/src/main/java/org/damaskmoor/bench/link/StreamLinkHandler.java
@@ -11,26 +11,26 @@
 import java.util.function.LongSupplier;
 
 /**
- * Emulates the link under a TCP connection that this process opens, in both directions.
+ * Emulates the link of a TCP connection opened by this process, in both directions.
  *
- * <p>Only the opening side knows which link it is: the accepting side sees an ephemeral port. So
- * the opener delays what it sends and what it receives, and the accepting side delays nothing.
+ * <p>Only the opening side can identify the link, because the accepting side sees an ephemeral
+ * port. The opening side therefore delays both directions and the accepting side delays nothing.
  *
- * <p>Invariants: bytes keep their order; a close follows the writes before it; a cut holds bytes
- * back, as TCP would by resending; a silenced connection drops bytes and tells nobody. Not thread
- * safe: the channel's event loop owns it.
+ * <p>Invariants: bytes keep their order; a close takes effect after the writes before it; a cut
+ * holds bytes back, like TCP retransmission; a silenced connection drops bytes without an error.
+ * Not thread safe: confined to the channel's event loop.
  */
 public final class StreamLinkHandler extends ChannelDuplexHandler {
     private final LinkPair links;
     private final LongSupplier nanoseconds;
-    private final int silencesAtOpening;
+    private final int silencesAtOpen;
     private DelayLine outgoing;
     private DelayLine incoming;
 
     public StreamLinkHandler(LinkPair links, LongSupplier nanoseconds) {
         this.links = links;
         this.nanoseconds = nanoseconds;
-        this.silencesAtOpening = links.outgoing().profile().silences();
+        this.silencesAtOpen = links.outgoing().profile().silences();
     }
 
     @Override
@@ -40,7 +40,7 @@
     }
 
     @Override
-    @SuppressWarnings("FutureReturnValueIgnored") // The promise tells the outcome.
+    @SuppressWarnings("FutureReturnValueIgnored") // The promise reports the outcome.
     public void connect(
             ChannelHandlerContext context,
             SocketAddress remote,
@@ -57,9 +57,9 @@
     }
 
     @Override
-    @SuppressWarnings("FutureReturnValueIgnored") // The promise tells the outcome.
+    @SuppressWarnings("FutureReturnValueIgnored") // The promise reports the outcome.
     public void write(ChannelHandlerContext context, Object message, ChannelPromise promise) {
-        if (silenced()) {
+        if (isSilenced()) {
             ReferenceCountUtil.release(message);
             promise.trySuccess();
             return;
@@ -68,7 +68,7 @@
     }
 
     @Override
-    @SuppressWarnings("FutureReturnValueIgnored") // The promise tells the outcome.
+    @SuppressWarnings("FutureReturnValueIgnored") // The promise reports the outcome.
     public void close(ChannelHandlerContext context, ChannelPromise promise) {
         if (outgoing.isEmpty()) {
             context.close(promise);
@@ -79,7 +79,7 @@
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-        if (silenced()) {
+        if (isSilenced()) {
             ReferenceCountUtil.release(message);
             return;
         }
@@ -98,8 +98,8 @@
         super.channelInactive(context);
     }
 
-    private boolean silenced() {
-        return links.outgoing().profile().silences() > silencesAtOpening;
+    private boolean isSilenced() {
+        return links.outgoing().profile().silences() > silencesAtOpen;
     }
 
     private static int bytes(Object message) {
--- a/bench/src/main/java/org/damaskmoor/bench/load/Caller.java
+++ b/bench/src/main/java/org/damaskmoor/bench/load/Caller.java
@@ -9,33 +9,33 @@
 import java.net.URI;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.damaskmoor.bench.http.Fields;
-import org.damaskmoor.bench.load.AnswerReader.Reading;
+import org.damaskmoor.bench.http.HttpFields;
+import org.damaskmoor.bench.load.AnswerClassifier.Classification;
 import org.damaskmoor.bench.upstream.UpstreamServlet;
 
 /**
- * Sends planned requests, sends some again with the same key when their outcome is unknown, and
- * writes each send into the callers' ledger.
+ * Sends planned requests, resends some with the same key when their outcome is unknown, and records
+ * each send in the callers' ledger.
  *
- * <p>Invariant: each send gives exactly one record. Not thread safe: one event loop owns it.
+ * <p>Invariant: each send yields exactly one record. Not thread safe: confined to one event loop.
  */
 final class Caller {
-    static final long PATIENCE_MILLISECONDS = 3000;
+    static final long ANSWER_TIMEOUT_MILLISECONDS = 3000;
     private static final long RESEND_AFTER_MILLISECONDS = 300;
-    private static final int MOST_ATTEMPTS = 3;
+    private static final int MAXIMUM_ATTEMPTS = 3;
 
     private final NioReactor reactor;
     private final HttpClient client;
-    private final Entries entries;
-    private final Entries upstreams;
+    private final EndpointSelector entries;
+    private final EndpointSelector upstreams;
     private final Consumer<CallRecord> ledger;
     private final Runnable finished;
 
     Caller(
             NioReactor reactor,
             HttpClient client,
-            Entries entries,
-            Entries upstreams,
+            EndpointSelector entries,
+            EndpointSelector upstreams,
             Consumer<CallRecord> ledger,
             Runnable finished) {
         this.reactor = reactor;
@@ -46,13 +46,15 @@
         this.finished = finished;
     }
 
-    /** Sends the request; the latency counts from the given time. */
+    /** Sends the request; the latency is measured from the given time. */
     void send(PlannedCall call, int attempt, long dueNanoseconds) {
-        Entries from = call.direct() ? upstreams : entries;
+        EndpointSelector from = call.direct() ? upstreams : entries;
         URI entry = from.choose(call.entry() + attempt, System.nanoTime());
         client.request(request(call, attempt, entry))
                 .then(response -> response.loadBody().map(body -> read(call, response, body)))
-                .whenResult(reading -> record(call, attempt, dueNanoseconds, entry, reading))
+                .whenResult(
+                        classification ->
+                                record(call, attempt, dueNanoseconds, entry, classification))
                 .whenException(
                         cause -> record(call, attempt, dueNanoseconds, entry, failure(cause)));
     }
@@ -64,28 +66,36 @@
                         ? HttpRequest.post(url).withBody("{\"booking\":\"" + call.nonce() + "\"}")
                         : HttpRequest.get(url);
         if (call.booking()) {
-            request.withHeader(Fields.IDEMPOTENCY_KEY, call.key());
+            request.withHeader(HttpFields.IDEMPOTENCY_KEY, call.key());
         }
-        return request.withHeader(Fields.NONCE, call.nonce())
+        return request.withHeader(HttpFields.NONCE, call.nonce())
                 .withHeader(UpstreamServlet.ATTEMPT, String.valueOf(attempt))
-                .withHeader(Fields.CALLER, call.caller())
-                .withHeader(Fields.DEADLINE_MILLISECONDS, String.valueOf(PATIENCE_MILLISECONDS))
+                .withHeader(HttpFields.CALLER, call.caller())
+                .withHeader(
+                        HttpFields.DEADLINE_MILLISECONDS,
+                        String.valueOf(ANSWER_TIMEOUT_MILLISECONDS))
                 .build();
     }
 
-    private static Reading read(PlannedCall call, HttpResponse response, ByteBuf body) {
-        return AnswerReader.read(call, response, ByteString.copyFrom(body.getArray()));
+    private static Classification read(PlannedCall call, HttpResponse response, ByteBuf body) {
+        return AnswerClassifier.read(call, response, ByteString.copyFrom(body.getArray()));
     }
 
-    private static Reading failure(Exception cause) {
-        return new Reading(Outcome.TRANSPORT_ERROR, cause.getClass().getSimpleName(), "", false);
+    private static Classification failure(Exception cause) {
+        return new Classification(
+                Outcome.TRANSPORT_ERROR, cause.getClass().getSimpleName(), "", false);
     }
 
     private void record(
-            PlannedCall call, int attempt, long dueNanoseconds, URI entry, Reading reading) {
+            PlannedCall call,
+            int attempt,
+            long dueNanoseconds,
+            URI entry,
+            Classification classification) {
         long now = System.nanoTime();
-        if (reading.outcome() == Outcome.TRANSPORT_ERROR || reading.reason().equals("draining")) {
-            (call.direct() ? upstreams : entries).avoid(entry, now);
+        if (classification.outcome() == Outcome.TRANSPORT_ERROR
+                || classification.reason().equals("draining")) {
+            (call.direct() ? upstreams : entries).exclude(entry, now);
         }
         ledger.accept(
                 new CallRecord(
@@ -94,13 +104,13 @@
                         attempt,
                         call.booking(),
                         call.direct(),
-                        reading.outcome(),
-                        reading.reason(),
-                        reading.refusalId(),
-                        reading.crossed(),
+                        classification.outcome(),
+                        classification.reason(),
+                        classification.refusalId(),
+                        classification.crossed(),
                         entry.toString(),
                         now - dueNanoseconds));
-        if (resends(call, attempt, reading.outcome())) {
+        if (shouldResend(call, attempt, classification.outcome())) {
             reactor.delay(RESEND_AFTER_MILLISECONDS, () -> resend(call, attempt + 1));
         } else {
             finished.run();
@@ -111,14 +121,14 @@
         send(call, attempt, System.nanoTime());
     }
 
-    private static boolean resends(PlannedCall call, int attempt, Outcome outcome) {
-        boolean unclear = outcome == Outcome.UNKNOWN || outcome == Outcome.TRANSPORT_ERROR;
-        return call.resends() && unclear && attempt < MOST_ATTEMPTS;
+    private static boolean shouldResend(PlannedCall call, int attempt, Outcome outcome) {
+        boolean outcomeUnknown = outcome == Outcome.UNKNOWN || outcome == Outcome.TRANSPORT_ERROR;
+        return call.resends() && outcomeUnknown && attempt < MAXIMUM_ATTEMPTS;
     }
 
-    /** Returns the longest time that a request with all its resends may take, in milliseconds. */
-    static long longestMilliseconds() {
+    /** Returns the maximum duration of a request including all resends, in milliseconds. */
+    static long maximumMilliseconds() {
         return TimeUnit.SECONDS.toMillis(1)
-                + MOST_ATTEMPTS * (PATIENCE_MILLISECONDS + RESEND_AFTER_MILLISECONDS);
+                + MAXIMUM_ATTEMPTS * (ANSWER_TIMEOUT_MILLISECONDS + RESEND_AFTER_MILLISECONDS);
     }
 }
--- a/bench/src/main/java/org/damaskmoor/bench/load/LoadRun.java
+++ b/bench/src/main/java/org/damaskmoor/bench/load/LoadRun.java
@@ -13,39 +13,40 @@
 import org.damaskmoor.bench.http.LoopbackClient;
 
 /**
- * Sends a whole schedule, each request when it is due, whatever became of those before it.
+ * Sends a schedule of requests in an open loop: each request is sent when due, independently of
+ * earlier outcomes.
  *
  * <pre>{@code
  * List<CallRecord> ledger = new LoadRun(entries, upstreams, progress -> {}).run(schedule);
  * }</pre>
  *
- * <p>ActiveJ's client sends: it never sends a request twice by itself, which the JDK's client does
- * for some failures, and it needs one thread. The pace is kept by a thread of its own because the
- * event loop's clock counts whole milliseconds.
+ * <p>Uses ActiveJ's client, which never retries a request by itself, as the JDK's client does after
+ * some failures, and needs only one thread. The calling thread keeps the pace because the event
+ * loop's clock has millisecond resolution.
  *
  * <p>Thread safety: each instance runs one schedule, called from one thread.
  */
 public final class LoadRun {
     private static final Duration READ_TIMEOUT =
-            Duration.ofMillis(Caller.PATIENCE_MILLISECONDS + 1000);
+            Duration.ofMillis(Caller.ANSWER_TIMEOUT_MILLISECONDS + 1000);
 
     private final List<URI> entries;
     private final List<URI> upstreams;
-    private final Consumer<CallRecord> watcher;
+    private final Consumer<CallRecord> listener;
     private final List<CallRecord> ledger = new ArrayList<>();
 
     /**
-     * @param entries where callers send
-     * @param upstreams where direct requests go
-     * @param watcher is told each record, on the event loop
+     * @param entries URLs of the entry nodes
+     * @param upstreams URLs for direct requests
+     * @param listener receives each record, on the event loop
      */
-    public LoadRun(List<URI> entries, List<URI> upstreams, Consumer<CallRecord> watcher) {
+    public LoadRun(List<URI> entries, List<URI> upstreams, Consumer<CallRecord> listener) {
         this.entries = entries;
         this.upstreams = upstreams;
-        this.watcher = watcher;
+        this.listener = listener;
     }
 
-    /** Sends all and returns the ledger once every request has its outcome. */
+    /** Sends all requests and returns the ledger once every request has an outcome. */
     public List<CallRecord> run(List<PlannedCall> schedule) throws InterruptedException {
         Eventloop eventLoop = Eventloop.builder().withThreadName("callers").build();
         eventLoop.keepAlive(true);
@@ -58,27 +59,29 @@
                 new Caller(
                         eventLoop,
                         client,
-                        new Entries(entries),
-                        new Entries(upstreams),
-                        this::note,
+                        new EndpointSelector(entries),
+                        new EndpointSelector(upstreams),
+                        this::record,
                         unfinished::countDown);
-        pace(schedule, eventLoop, caller);
-        boolean finished = unfinished.await(Caller.longestMilliseconds(), TimeUnit.MILLISECONDS);
+        sendOnSchedule(schedule, eventLoop, caller);
+        boolean finished = unfinished.await(Caller.maximumMilliseconds(), TimeUnit.MILLISECONDS);
         eventLoop.keepAlive(false);
         eventLoop.execute(eventLoop::breakEventloop);
         thread.join();
         if (!finished) {
-            throw new IllegalStateException(unfinished.getCount() + " requests have no outcome");
+            throw new IllegalStateException(
+                    unfinished.getCount() + " requests have no outcome after the maximum duration");
         }
         return List.copyOf(ledger);
     }
 
-    private void note(CallRecord line) {
+    private void record(CallRecord line) {
         ledger.add(line);
-        watcher.accept(line);
+        listener.accept(line);
     }
 
-    private static void pace(List<PlannedCall> schedule, Eventloop eventLoop, Caller caller) {
+    private static void sendOnSchedule(
+            List<PlannedCall> schedule, Eventloop eventLoop, Caller caller) {
         long start = System.nanoTime();
         for (PlannedCall call : schedule) {
             long due = start + call.dueNanoseconds();
--- a/bench/src/main/java/org/damaskmoor/bench/load/Outcome.java
+++ b/bench/src/main/java/org/damaskmoor/bench/load/Outcome.java
@@ -1,13 +1,13 @@
 package org.damaskmoor.bench.load;
 
-/** What a caller was told about one send of a request. */
+/** Outcome of one send of a request, as reported to the caller. */
 public enum Outcome {
-    /** The upstream's answer came back, whatever its status. */
+    /** The upstream's answer arrived, with any status. */
     ANSWERED,
-    /** Refused as not run. */
+    /** Refused, reported as not run. */
     REFUSED,
-    /** Told that it is unknown whether the request ran. */
+    /** Reported as unknown whether the request ran. */
     UNKNOWN,
-    /** No answer at all: the connection failed or the caller gave up. */
+    /** No answer: the connection failed or the caller timed out. */
     TRANSPORT_ERROR
 }
--- a/bench/src/main/java/org/damaskmoor/bench/load/PlannedCall.java
+++ b/bench/src/main/java/org/damaskmoor/bench/load/PlannedCall.java
@@ -1,15 +1,15 @@
 package org.damaskmoor.bench.load;
 
 /**
- * One request that the schedule has a caller send. Immutable.
+ * One planned request of a schedule. Immutable.
  *
- * @param dueNanoseconds when it is due, since the start of the load
+ * @param dueNanoseconds due time since the start of the load
  * @param caller the caller's name
  * @param booking true for a non-idempotent POST, false for a lookup by GET
- * @param nonce tells this request from all others
- * @param resends true when the caller sends again with the same key after an unknown outcome
- * @param direct true when it goes straight to an upstream
- * @param entry chooses where it enters; reduced to the number of entries
+ * @param nonce unique id of this request
+ * @param resends true when the caller resends with the same key after an unknown outcome
+ * @param direct true when it is sent directly to an upstream
+ * @param entry selects the entry node; reduced modulo the number of entries
  */
 public record PlannedCall(
         long dueNanoseconds,
--- a/bench/src/main/java/org/damaskmoor/bench/load/RequestKind.java
+++ b/bench/src/main/java/org/damaskmoor/bench/load/RequestKind.java
@@ -5,10 +5,10 @@
 /**
  * A kind of request that callers send. Immutable.
  *
- * @param share how often it is sent, relative to the other kinds
- * @param pathPrefix the path before the visit, quote or item
+ * @param share relative frequency among all kinds
+ * @param pathPrefix path before the item number
  * @param booking true for a non-idempotent POST
- * @param callers who sends it
+ * @param callers names of the callers that send it
  */
 public record RequestKind(double share, String pathPrefix, boolean booking, List<String> callers) {
     public RequestKind {
--- a/bench/src/main/java/org/damaskmoor/bench/load/Schedule.java
+++ b/bench/src/main/java/org/damaskmoor/bench/load/Schedule.java
@@ -6,7 +6,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Lays down in advance who sends what and when, so that slow answers don't slow the sending down.
+ * Plans all requests of an open-loop load in advance, so that slow answers do not slow down the
+ * sending.
  *
  * <p>Invariant: the same random numbers give the same schedule. Not thread safe.
  */
@@ -19,26 +20,26 @@
     private final Shares shares;
 
     /**
-     * How callers behave. Immutable.
+     * Shares of special behaviour of callers. Immutable.
      *
-     * @param resending share of bookings that are sent again after an unknown outcome
-     * @param direct share of lookups that go straight to an upstream
+     * @param resending share of bookings that are resent after an unknown outcome
+     * @param direct share of lookups that are sent directly to an upstream
      */
     public record Shares(double resending, double direct) {
-        /** What the demo's callers do. */
+        /** Behaviour of the demo's callers. */
         public static final Shares DEMO = new Shares(0.5, 0.2);
 
         /** Every request is sent once and through a node. */
         public static final Shares ROUTED_ONCE = new Shares(0, 0);
     }
 
-    /** A schedule of callers that behave as those of the demo. */
+    /** Creates a schedule with {@link Shares#DEMO}. */
     public Schedule(List<RequestKind> kinds, RandomGenerator random, String run) {
         this(kinds, random, run, Shares.DEMO);
     }
 
     /**
-     * @param run sets this schedule's nonces apart from those of others
+     * @param run prefix that makes the nonces of this schedule unique
      */
     public Schedule(List<RequestKind> kinds, RandomGenerator random, String run, Shares shares) {
         this.shares = shares;
@@ -47,7 +48,7 @@
         this.run = run;
     }
 
-    /** Returns requests with exponentially distributed gaps, in the order in which they are due. */
+    /** Returns requests with exponentially distributed gaps, ordered by due time. */
     public List<PlannedCall> plan(double requestsPerSecond, double seconds) {
         List<PlannedCall> calls = new ArrayList<>();
         double due = random.nextExponential() / requestsPerSecond;
--- a/bench/src/main/java/org/damaskmoor/bench/platform/ObjectCalls.java
+++ b/bench/src/main/java/org/damaskmoor/bench/platform/ObjectEndpoint.java
@@ -10,12 +10,12 @@
 import org.damaskmoor.bench.http.Reply;
 
 /**
- * The calls of the object store.
+ * The operations of the object store.
  *
- * <p>Invariant: with If-None-Match an object that stands is never overwritten. Not thread safe: one
- * event loop owns it.
+ * <p>Invariant: a put with If-None-Match never overwrites an existing object. Not thread safe:
+ * confined to one event loop.
  */
-final class ObjectCalls {
+final class ObjectEndpoint {
     private final NavigableMap<String, ByteString> objects = new TreeMap<>();
 
     Reply get(String name) {
--- a/bench/src/main/java/org/damaskmoor/bench/platform/PlatformCounters.java
+++ b/bench/src/main/java/org/damaskmoor/bench/platform/PlatformCounters.java
@@ -3,7 +3,7 @@
 import org.damaskmoor.bench.http.JsonObject;
 import org.damaskmoor.bench.http.Reply;
 
-/** Counts what the platform stand-in was asked. Not thread safe: one event loop owns it. */
+/** Counts the requests to the platform stand-in. Not thread safe: confined to one event loop. */
 final class PlatformCounters {
     private long reads;
     private long writes;
--- a/bench/src/main/java/org/damaskmoor/bench/platform/PlatformFaults.java
+++ b/bench/src/main/java/org/damaskmoor/bench/platform/PlatformFaults.java
@@ -3,19 +3,20 @@
 import org.damaskmoor.bench.http.JsonObject;
 
 /**
- * The fault that the platform stand-in shows at the moment.
+ * The fault currently injected into the platform stand-in.
  *
- * <p>Invariant: a fault with a duration ends by itself. Not thread safe: one event loop owns it.
+ * <p>Invariant: a fault with a duration expires by itself. Not thread safe: confined to one event
+ * loop.
  */
 public final class PlatformFaults {
-    /** How the stand-in misbehaves. */
+    /** The kind of fault. */
     public enum Mode {
         NONE,
         /** Answers 503 without effect. */
         DOWN,
         /** Answers late. */
         SLOW,
-        /** Takes writes and closes the connection without an answer. */
+        /** Applies writes and closes the connection without an answer. */
         LOSE_ANSWERS
     }
 
@@ -28,20 +29,20 @@
      *
      * @throws IllegalArgumentException when the mode is unknown
      */
-    public void change(JsonObject wanted, long nowMilliseconds) {
-        String name = wanted.text("mode", "none");
+    public void change(JsonObject description, long nowMilliseconds) {
+        String name = description.text("mode", "none");
         mode = Mode.valueOf(name.toUpperCase(java.util.Locale.ROOT).replace('-', '_'));
-        delayMilliseconds = (long) wanted.number("delay_milliseconds", 0);
-        long duration = (long) wanted.number("for_milliseconds", 0);
+        delayMilliseconds = (long) description.number("delay_milliseconds", 0);
+        long duration = (long) description.number("for_milliseconds", 0);
         endsAtMilliseconds = duration == 0 ? Long.MAX_VALUE : nowMilliseconds + duration;
     }
 
-    /** Returns the fault in force. */
+    /** Returns the active fault. */
     public Mode mode(long nowMilliseconds) {
         return nowMilliseconds >= endsAtMilliseconds ? Mode.NONE : mode;
     }
 
-    /** Returns how long answers are held back while slow, in milliseconds. */
+    /** Returns the answer delay in {@link Mode#SLOW}, in milliseconds. */
     public long delayMilliseconds() {
         return delayMilliseconds;
     }
--- a/bench/src/main/java/org/damaskmoor/bench/platform/PlatformServlet.java
+++ b/bench/src/main/java/org/damaskmoor/bench/platform/PlatformServlet.java
@@ -12,7 +12,7 @@
 import io.activej.reactor.nio.NioReactor;
 import java.net.URLDecoder;
 import java.util.Optional;
-import org.damaskmoor.bench.http.Fields;
+import org.damaskmoor.bench.http.HttpFields;
 import org.damaskmoor.bench.http.JsonObject;
 import org.damaskmoor.bench.http.NoAnswerException;
 import org.damaskmoor.bench.http.Reply;
@@ -21,17 +21,17 @@
 
 /**
  * The platform stand-in: the table service and the object store of docs/INTERFACES.md, with faults
- * that {@code POST /stand-in/faults} switches and counts under {@code GET /stand-in/counters}.
+ * set by {@code POST /stand-in/faults} and counters at {@code GET /stand-in/counters}.
  *
- * <p>Invariants: while down nothing takes effect; a lost answer's write has taken effect. Not
- * thread safe: one event loop owns it.
+ * <p>Invariants: no request takes effect while down; a write whose answer is lost has taken effect.
+ * Not thread safe: confined to one event loop.
  */
 public final class PlatformServlet implements AsyncServlet {
     private static final int DEFAULT_LIMIT = 1000;
 
     private final NioReactor reactor;
-    private final TableCalls tables = new TableCalls(new TableStore());
-    private final ObjectCalls objects = new ObjectCalls();
+    private final TableEndpoint tables = new TableEndpoint(new TableStore());
+    private final ObjectEndpoint objects = new ObjectEndpoint();
     private final PlatformFaults faults = new PlatformFaults();
     private final PlatformCounters counters = new PlatformCounters();
 
@@ -42,10 +42,10 @@
     @Override
     public Promise<HttpResponse> serve(HttpRequest request) {
         return request.loadBody()
-                .then(body -> serveWhole(request, ByteString.copyFrom(body.getArray())));
+                .then(body -> serveLoaded(request, ByteString.copyFrom(body.getArray())));
     }
 
-    private Promise<HttpResponse> serveWhole(HttpRequest request, ByteString body) {
+    private Promise<HttpResponse> serveLoaded(HttpRequest request, ByteString body) {
         if (request.getPath().startsWith("/stand-in/")) {
             return Promise.of(control(request, body).toResponse());
         }
@@ -114,9 +114,9 @@
 
     private static Condition condition(HttpRequest request) {
         Optional<String> ifMatch =
-                Optional.ofNullable(request.getHeader(Fields.IF_MATCH))
+                Optional.ofNullable(request.getHeader(HttpFields.IF_MATCH))
                         .map(tag -> tag.replace("\"", ""));
-        return new Condition(ifMatch, request.getHeader(Fields.IF_NONE_MATCH) != null);
+        return new Condition(ifMatch, request.getHeader(HttpFields.IF_NONE_MATCH) != null);
     }
 
     private static String prefix(HttpRequest request) {
--- a/bench/src/main/java/org/damaskmoor/bench/platform/PlatformStandInCommand.java
+++ b/bench/src/main/java/org/damaskmoor/bench/platform/PlatformStandInCommand.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.Callable;
 import org.damaskmoor.bench.http.EventLoopServer;
 
-/** Runs the stand-in of the platform's services until it is ended. Used by one thread. */
+/** Runs the platform stand-in until the process is terminated. Used by one thread. */
 @Command(name = "platform-stand-in", description = "Table service and object store in memory")
 public final class PlatformStandInCommand implements Callable<Integer> {
     @Option(name = "--port", description = "Port to listen on")
--- a/bench/src/main/java/org/damaskmoor/bench/platform/TableCalls.java
+++ b/bench/src/main/java/org/damaskmoor/bench/platform/TableEndpoint.java
@@ -14,14 +14,15 @@
 import org.damaskmoor.bench.platform.TableStore.Row;
 
 /**
- * The calls of the table service on a {@link TableStore}. Not thread safe: one event loop owns it.
+ * The operations of the table service on a {@link TableStore}. Not thread safe: confined to one
+ * event loop.
  */
-final class TableCalls {
+final class TableEndpoint {
     private static final int PRECONDITION_REQUIRED = 428;
 
     private final TableStore store;
 
-    TableCalls(TableStore store) {
+    TableEndpoint(TableStore store) {
         this.store = store;
     }
 
--- a/bench/src/main/java/org/damaskmoor/bench/platform/TableStore.java
+++ b/bench/src/main/java/org/damaskmoor/bench/platform/TableStore.java
@@ -16,19 +16,19 @@
  * store.apply(List.of(new Operation("leases", "merge", Condition.ABSENT, Optional.of(value))));
  * }</pre>
  *
- * <p>Invariants: an entity tag is never used twice, also not after a deletion; of a list of
- * operations all take effect or none. Not thread safe: one event loop owns it.
+ * <p>Invariants: an entity tag is never reused, even after a deletion; a list of operations is
+ * applied atomically. Not thread safe: confined to one event loop.
  */
 public final class TableStore {
     /** One version of a row. */
     public record Row(String entityTag, ByteString value) {}
 
-    /** What must hold of a row for an operation to take effect. */
+    /** The precondition of an operation on its row. */
     public record Condition(Optional<String> ifMatch, boolean ifNoneMatch) {
         public static final Condition ALWAYS = new Condition(Optional.empty(), false);
         public static final Condition ABSENT = new Condition(Optional.empty(), true);
 
-        /** Returns the condition that the row stands at this version. */
+        /** Returns the condition that the row has this version. */
         public static Condition match(String entityTag) {
             return new Condition(Optional.of(entityTag), false);
         }
@@ -41,22 +41,25 @@
         }
     }
 
-    /** One write; a missing value deletes the row. */
+    /** One write; an absent value deletes the row. */
     public record Operation(
             String table, String key, Condition condition, Optional<ByteString> value) {}
 
-    /** What became of a list of operations: their tags, or the first whose condition failed. */
+    /**
+     * The result of a list of operations: their entity tags, or the index of the first whose
+     * condition failed.
+     */
     public record Result(List<String> entityTags, Optional<Integer> failedOperation) {}
 
     private final Map<String, NavigableMap<String, Row>> tables = new HashMap<>();
     private long lastVersion;
 
-    /** Returns the row as it stands. */
+    /** Returns the current row. */
     public Optional<Row> get(String table, String key) {
         return Optional.ofNullable(table(table).get(key));
     }
 
-    /** Returns at most the given number of rows in order of key, after the given key. */
+    /** Returns up to the given number of rows with keys after the given key, ordered by key. */
     public Map<String, Row> scan(String table, String prefix, String after, int limit) {
         Map<String, Row> found = new TreeMap<>();
         for (Map.Entry<String, Row> entry : table(table).tailMap(after, false).entrySet()) {
@@ -70,7 +73,7 @@
         return found;
     }
 
-    /** Applies all operations, or none when a condition fails. */
+    /** Applies all operations, or none if a condition fails. */
     public Result apply(List<Operation> operations) {
         for (int i = 0; i < operations.size(); i++) {
             Operation operation = operations.get(i);
--- a/bench/src/main/java/org/damaskmoor/bench/soak/BookingLoad.java
+++ b/bench/src/main/java/org/damaskmoor/bench/soak/BookingLoad.java
@@ -8,13 +8,13 @@
 import org.damaskmoor.bench.load.Schedule;
 
 /**
- * A load that is mostly bookings, with lookups in between.
+ * Plans a load of 80 % bookings and 20 % lookups.
  *
  * <p>Invariant: the same random numbers give the same load. Not thread safe.
  */
 final class BookingLoad {
     private static final double BOOKING_SHARE = 0.8;
-    private static final double SPARE = 1.1;
+    private static final double DURATION_MARGIN = 1.1;
 
     private final List<RequestKind> kinds;
     private final RandomGenerator random;
@@ -26,12 +26,14 @@
         this.run = run;
     }
 
-    /** Returns calls with exactly so many bookings, which take about the given time. */
+    /**
+     * Returns calls with exactly the given number of bookings, spread over about the given time.
+     */
     List<PlannedCall> plan(int bookings, double seconds) {
         double rate = bookings / BOOKING_SHARE / seconds;
         List<PlannedCall> calls =
                 new Schedule(weighted(), random, run, Schedule.Shares.DEMO)
-                        .plan(rate, seconds * SPARE + 1);
+                        .plan(rate, seconds * DURATION_MARGIN + 1);
         List<PlannedCall> planned = new ArrayList<>();
         int booked = 0;
         for (PlannedCall call : calls) {
--- a/bench/src/main/java/org/damaskmoor/bench/soak/FaultKind.java
+++ b/bench/src/main/java/org/damaskmoor/bench/soak/FaultKind.java
@@ -1,29 +1,29 @@
 package org.damaskmoor.bench.soak;
 
-/** What may go wrong in a soak. */
+/** The kinds of fault that a soak run can inject. */
 public enum FaultKind {
-    /** A node is ended at once and started again. */
+    /** A node is killed and restarted. */
     KILL_NODE,
-    /** A node stands still and runs on as if nothing had been. */
+    /** A node process is suspended and resumed. */
     FREEZE_NODE,
-    /** A node is told to stop, ends by itself and is started again. */
+    /** A node is asked to stop, exits by itself and is restarted. */
     STOP_NODE,
-    /** An upstream is ended at once and started again. */
+    /** An upstream is killed and restarted. */
     KILL_UPSTREAM,
-    /** An upstream stands still and runs on as if nothing had been. */
+    /** An upstream process is suspended and resumed. */
     FREEZE_UPSTREAM,
-    /** Two data centres of one region don't reach each other. */
+    /** Two data centres of one region cannot reach each other. */
     CUT_DATA_CENTRES,
-    /** The regions don't reach each other. */
+    /** The regions cannot reach each other. */
     CUT_REGIONS,
-    /** Connections open between two data centres go silent for good; new ones work. */
+    /** Open connections between two data centres go silent permanently; new ones work. */
     SILENCE_DATA_CENTRES,
-    /** Connections open between the regions go silent for good; new ones work. */
+    /** Open connections between the regions go silent permanently; new ones work. */
     SILENCE_REGIONS,
     /** The platform answers 503 without effect. */
     PLATFORM_DOWN,
     /** The platform answers late. */
     PLATFORM_SLOW,
-    /** The platform takes writes and closes the connection without an answer. */
+    /** The platform applies writes and closes the connection without an answer. */
     PLATFORM_LOSES_ANSWERS
 }
--- a/bench/src/main/java/org/damaskmoor/bench/soak/FaultRunner.java
+++ b/bench/src/main/java/org/damaskmoor/bench/soak/FaultRunner.java
@@ -13,16 +13,16 @@
 import org.damaskmoor.bench.soak.SiteFaults.Step;
 
 /**
- * Carries out a schedule of faults in time.
+ * Injects the faults of a schedule at their planned times.
  *
- * <p>A fault whose subject already has one, or that would be one too many at once, is left out.
+ * <p>A fault is skipped if its subject already has one or if 4 faults are already active.
  *
- * <p>Invariant: after {@link #heal} every fault that began has ended. Thread safe: one thread of
- * its own carries out all steps.
+ * <p>Invariant: after {@link #heal} every started fault has ended. Thread safe: a dedicated thread
+ * runs all steps.
  */
 public final class FaultRunner implements AutoCloseable {
-    private static final int MOST_AT_ONCE = 4;
-    private static final long HEAL_SECONDS = 30;
+    private static final int MAXIMUM_CONCURRENT_FAULTS = 4;
+    private static final long HEAL_TIMEOUT_SECONDS = 30;
 
     private final SiteFaults faults;
     private final Consumer<String> progress;
@@ -32,14 +32,14 @@
     private boolean healed;
 
     /**
-     * @param progress is told each step
+     * @param progress receives a message for each step
      */
     public FaultRunner(SiteFaults faults, Consumer<String> progress) {
         this.faults = faults;
         this.progress = progress;
     }
 
-    /** Starts the clock of the faults. */
+    /** Schedules the faults, relative to now. */
     @SuppressWarnings("FutureReturnValueIgnored") // A step reports its own failure.
     public void start(List<PlannedFault> schedule) {
         for (PlannedFault fault : schedule) {
@@ -47,10 +47,12 @@
         }
     }
 
-    /** Ends all open faults, begins no more, and returns how many of each kind there were. */
+    /**
+     * Ends all active faults, starts no more, and returns the number of injected faults by kind.
+     */
     public Map<FaultKind, Integer> heal() throws InterruptedException, IOException {
         try {
-            return timer.submit(this::endAll).get(HEAL_SECONDS, TimeUnit.SECONDS);
+            return timer.submit(this::endAll).get(HEAL_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (java.util.concurrent.ExecutionException
                 | java.util.concurrent.TimeoutException e) {
             throw new IOException("faults not healed: " + open.keySet(), e);
@@ -66,23 +68,25 @@
     @SuppressWarnings("FutureReturnValueIgnored") // A step reports its own failure.
     private void begin(PlannedFault planned) {
         Fault fault = faults.of(planned);
-        if (healed || open.containsKey(fault.subject()) || open.size() >= MOST_AT_ONCE) {
+        if (healed
+                || open.containsKey(fault.subject())
+                || open.size() >= MAXIMUM_CONCURRENT_FAULTS) {
             return;
         }
         open.put(fault.subject(), fault);
         counts.merge(planned.kind(), 1, Integer::sum);
-        String span = planned.durationMilliseconds() + " ms";
-        carryOut(planned.kind() + " " + fault.subject() + " for " + span, fault.begin());
+        String length = planned.durationMilliseconds() + " ms";
+        execute(planned.kind() + " " + fault.subject() + " for " + length, fault.begin());
         timer.schedule(() -> end(fault), planned.durationMilliseconds(), TimeUnit.MILLISECONDS);
     }
 
     private void end(Fault fault) {
         if (open.remove(fault.subject(), fault)) {
-            carryOut("end of fault: " + fault.subject(), fault.end());
+            execute("end of fault: " + fault.subject(), fault.end());
         }
     }
 
-    private void carryOut(String name, Step step) {
+    private void execute(String name, Step step) {
         try {
             step.run();
             progress.accept(name);
--- a/bench/src/main/java/org/damaskmoor/bench/soak/FaultSchedule.java
+++ b/bench/src/main/java/org/damaskmoor/bench/soak/FaultSchedule.java
@@ -6,13 +6,13 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Lays down in advance what goes wrong and when; faults may overlap.
+ * Plans faults in advance; faults may overlap.
  *
  * <p>Invariant: the same random numbers give the same schedule. Not thread safe.
  */
 public final class FaultSchedule {
-    private static final long SHORTEST_MILLISECONDS = 200;
-    private static final long LONGEST_MILLISECONDS = 8_000;
+    private static final long MINIMUM_MILLISECONDS = 200;
+    private static final long MAXIMUM_MILLISECONDS = 8_000;
 
     private final RandomGenerator random;
 
@@ -42,9 +42,9 @@
                 random.nextInt(Integer.MAX_VALUE));
     }
 
-    /** As many short faults as long ones, on a logarithmic scale. */
+    /** Draws the duration from a log-uniform distribution. */
     private long duration() {
-        double span = Math.log((double) LONGEST_MILLISECONDS / SHORTEST_MILLISECONDS);
-        return (long) (SHORTEST_MILLISECONDS * Math.exp(random.nextDouble() * span));
+        double logRange = Math.log((double) MAXIMUM_MILLISECONDS / MINIMUM_MILLISECONDS);
+        return (long) (MINIMUM_MILLISECONDS * Math.exp(random.nextDouble() * logRange));
     }
 }
--- a/bench/src/main/java/org/damaskmoor/bench/soak/LinkFaults.java
+++ b/bench/src/main/java/org/damaskmoor/bench/soak/LinkFaults.java
@@ -13,7 +13,7 @@
 /**
  * Cuts and silences links by writing the link file that all nodes read.
  *
- * <p>Invariant: a reader sees the old file or the new one, whole. Thread safe.
+ * <p>Invariant: a reader sees either the complete old file or the complete new one. Thread safe.
  */
 public final class LinkFaults {
     private final Path file;
@@ -21,13 +21,13 @@
     private final List<String> cuts = new ArrayList<>();
     private final Map<String, Integer> silences = new TreeMap<>();
 
-    /** Takes over the file as it stands. */
+    /** Starts from the current content of the file. */
     public LinkFaults(Path file) throws IOException {
         this.file = file;
         this.links = JsonObject.parse(Files.readString(file));
     }
 
-    /** Cuts the link between two places, each a region or a data centre, as {@code A/B}. */
+    /** Cuts the link between two regions or two data centres, given as {@code A/B}. */
     public synchronized void cut(String pair) throws IOException {
         cuts.add(pair);
         write();
@@ -39,7 +39,7 @@
         write();
     }
 
-    /** Silences for good all connections that are open over this link; new ones work. */
+    /** Permanently silences all open connections over this link; new ones work. */
     public synchronized void silence(String pair) throws IOException {
         silences.merge(pair, 1, Integer::sum);
         write();
--- a/bench/src/main/java/org/damaskmoor/bench/soak/Spread.java
+++ b/bench/src/main/java/org/damaskmoor/bench/soak/PropagationBenchmark.java
@@ -21,18 +21,18 @@
 import org.damaskmoor.schema.configuration.VersionedConfiguration;
 
 /**
- * Measures on a site that runs already how long news takes: an accepted configuration to every
- * node, and the leaving of an upstream to all who send to it.
+ * Measures propagation times on a running site: of an accepted configuration to every node, and of
+ * the draining of an upstream to all nodes that send to it.
  *
  * <p>Used by one thread.
  */
-final class Spread {
+final class PropagationBenchmark {
     private static final long POLL_MILLISECONDS = 10;
-    private static final long LIMIT_SECONDS = 60;
+    private static final long PROPAGATION_TIMEOUT_SECONDS = 60;
     private static final double LOAD_PER_SECOND = 100;
     private static final double LOAD_SECONDS = 10;
     private static final long WARM_UP_MILLISECONDS = 3_000;
-    private static final long WATCH_MILLISECONDS = 5_000;
+    private static final long OBSERVATION_MILLISECONDS = 5_000;
 
     private final Deployment deployment;
     private final Site site;
@@ -40,9 +40,9 @@
     private final List<OperatorClient> operators;
 
     /**
-     * @param operators one for each place, in the same order
+     * @param operators one client per place, in the same order
      */
-    Spread(
+    PropagationBenchmark(
             Deployment deployment,
             Site site,
             BlockingClient client,
@@ -54,18 +54,20 @@
     }
 
     /**
-     * Changes the service and returns the seconds from its acceptance until every node holds it.
+     * Changes the service and returns the seconds from the acceptance of the change until every
+     * node uses it.
      *
-     * @param number tells this change from all others, and chooses the node that takes it
+     * @param number unique number of this change; selects the node that accepts it
      * @param storeDown whether the platform goes down right after the acceptance
      */
     double configurationSeconds(String service, int number, boolean storeDown)
             throws IOException, OperatorException, InterruptedException {
         OperatorClient operator = operators.get(number % operators.size());
-        VersionedConfiguration held = operator.find(service).orElseThrow();
-        ServiceConfiguration changed =
-                held.getService().toBuilder().addPathPrefixes("/spread-" + number).build();
-        long version = operator.apply(changed, held.getVersion(), "spread-" + number).getVersion();
+        VersionedConfiguration current = operator.find(service).orElseThrow();
+        ServiceConfiguration updated =
+                current.getService().toBuilder().addPathPrefixes("/spread-" + number).build();
+        long version =
+                operator.apply(updated, current.getVersion(), "spread-" + number).getVersion();
         long accepted = System.nanoTime();
         if (storeDown) {
             platform("down");
@@ -78,7 +80,7 @@
 
     private void awaitVersion(String service, long version)
             throws IOException, OperatorException, InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIMIT_SECONDS);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PROPAGATION_TIMEOUT_SECONDS);
         List<OperatorClient> behind = new ArrayList<>(operators);
         while (true) {
             for (OperatorClient operator : List.copyOf(behind)) {
@@ -90,21 +92,22 @@
                 return;
             }
             if (System.nanoTime() > end) {
-                throw new IOException(behind.size() + " nodes don't hold version " + version);
+                throw new IOException(behind.size() + " nodes did not reach version " + version);
             }
             Thread.sleep(POLL_MILLISECONDS);
         }
     }
 
-    /** Lets an upstream leave under load and returns the seconds until its last new request. */
+    /** Drains an upstream under load and returns the seconds until its last new request. */
     double drainSeconds(Place place, long seed) throws IOException, InterruptedException {
         CompletableFuture<Void> load = CompletableFuture.runAsync(() -> load(seed));
         Thread.sleep(WARM_UP_MILLISECONDS);
         upstream(place, new JsonObject().with("state", "leaving"));
-        long left = System.nanoTime();
-        long last = left;
+        long drainStarted = System.nanoTime();
+        long last = drainStarted;
         double served = served(place);
-        while (System.nanoTime() - left < TimeUnit.MILLISECONDS.toNanos(WATCH_MILLISECONDS)) {
+        while (System.nanoTime() - drainStarted
+                < TimeUnit.MILLISECONDS.toNanos(OBSERVATION_MILLISECONDS)) {
             double now = served(place);
             last = now > served ? System.nanoTime() : last;
             served = now;
@@ -112,7 +115,7 @@
         }
         load.join();
         upstream(place, new JsonObject().with("state", "serving"));
-        return (last - left) / (double) TimeUnit.SECONDS.toNanos(1);
+        return (last - drainStarted) / (double) TimeUnit.SECONDS.toNanos(1);
     }
 
     private void load(long seed) {
--- a/bench/src/main/java/org/damaskmoor/bench/soak/SpreadCommand.java
+++ b/bench/src/main/java/org/damaskmoor/bench/soak/PropagationCommand.java
@@ -22,25 +22,26 @@
 import org.damaskmoor.schema.settings.OperatorSettings;
 
 /**
- * Measures how fast an accepted configuration is in force on every node, with the platform up and
- * with the platform down right after the acceptance, and how fast a leaving upstream is left alone.
+ * Measures how fast an accepted configuration reaches every node, with the platform up and with the
+ * platform down right after the acceptance, and how fast a draining upstream stops receiving
+ * requests.
  *
  * <p>Used by one thread.
  */
-@Command(name = "spread", description = "Seconds until news is in force on every node")
-public final class SpreadCommand implements Callable<Integer> {
+@Command(name = "spread", description = "Measures propagation of changes to every node")
+public final class PropagationCommand implements Callable<Integer> {
     private static final Duration CONTROL_TIMEOUT = Duration.ofSeconds(3);
     private static final int CALL_TIMEOUT_MILLISECONDS = 10_000;
     private static final long START_TIMEOUT_MILLISECONDS = 60_000;
 
-    @Option(name = "--deployment", description = "Whose sizes: bern or cotizar")
+    @Option(name = "--deployment", description = "Deployment: bern or cotizar")
     @AllowedRawValues(allowedValues = {"bern", "cotizar"})
     private String deployment = "bern";
 
-    @Option(name = "--examples", description = "Directory of the deployments' files")
+    @Option(name = "--examples", description = "Directory of the deployment files")
     private String examples = "examples";
 
-    @Option(name = "--rounds", description = "How often each is measured")
+    @Option(name = "--rounds", description = "Number of measurements of each kind")
     private int rounds = 10;
 
     @Option(name = "--seed", description = "Seed of the load")
@@ -59,7 +60,7 @@
             for (Place place : site.places()) {
                 operators.add(open(place));
             }
-            measure(site, sizes, new Spread(sizes, site, client, operators));
+            measure(site, sizes, new PropagationBenchmark(sizes, site, client, operators));
             operators.forEach(OperatorClient::close);
         }
         return 0;
@@ -78,14 +79,18 @@
         }
     }
 
-    private void measure(Site site, Deployment sizes, Spread spread) throws Exception {
+    private void measure(Site site, Deployment sizes, PropagationBenchmark benchmark)
+            throws Exception {
         String service = sizes.services().get(0).configuration().getName();
         for (int round = 0; round < rounds; round++) {
-            print(round, "store_up", spread.configurationSeconds(service, 2 * round, false));
-            print(round, "store_down", spread.configurationSeconds(service, 2 * round + 1, true));
+            print(round, "store_up", benchmark.configurationSeconds(service, 2 * round, false));
+            print(
+                    round,
+                    "store_down",
+                    benchmark.configurationSeconds(service, 2 * round + 1, true));
         }
         for (int round = 0; round < Math.min(rounds, site.places().size()); round++) {
-            print(round, "drain", spread.drainSeconds(site.places().get(round), seed + round));
+            print(round, "drain", benchmark.drainSeconds(site.places().get(round), seed + round));
         }
     }
 
--- a/bench/src/main/java/org/damaskmoor/bench/soak/SiteFaults.java
+++ b/bench/src/main/java/org/damaskmoor/bench/soak/SiteFaults.java
@@ -11,22 +11,22 @@
 import org.damaskmoor.bench.http.JsonObject;
 
 /**
- * Carries out faults on the processes and links of one site.
+ * Creates faults for the processes and links of one site.
  *
  * <p>Not thread safe.
  */
 public final class SiteFaults {
-    /** A step that begins or ends a fault. */
+    /** An action that starts or ends a fault. */
     @FunctionalInterface
     public interface Step {
-        /** Carries out the step. */
+        /** Runs the action. */
         void run() throws IOException, InterruptedException;
     }
 
     /**
-     * One fault, ready to be carried out. Immutable.
+     * A fault that is ready to be injected. Immutable.
      *
-     * @param subject what it hits; two faults of one subject must not overlap
+     * @param subject the affected process or link; two faults of one subject must not overlap
      */
     public record Fault(String subject, Step begin, Step end) {}
 
@@ -44,7 +44,7 @@
         this.links = links;
     }
 
-    /** Returns what a planned fault does here. */
+    /** Returns the fault of this site for a planned fault. */
     public Fault of(PlannedFault planned) {
         Place place = site.places().get(planned.number() % site.places().size());
         return switch (planned.kind()) {
--- a/bench/src/main/java/org/damaskmoor/bench/soak/Soak.java
+++ b/bench/src/main/java/org/damaskmoor/bench/soak/Soak.java
@@ -28,17 +28,17 @@
 import org.damaskmoor.bench.verification.Violation;
 
 /**
- * One long run: bookings and lookups while a schedule of faults is carried out, then all ledgers
- * are held against another.
+ * One soak run: sends bookings and lookups while a schedule of faults is injected, then compares
+ * all ledgers.
  *
  * <p>Used by one thread, once.
  */
 final class Soak {
-    /** What a run found. Immutable. */
+    /** The result of a run. Immutable. */
     record Result(Totals totals, List<String> broken, Map<FaultKind, Integer> faults) {}
 
     private static final long START_TIMEOUT_MILLISECONDS = 60_000;
-    private static final long LATE_WORK_MILLISECONDS = 5_000;
+    private static final long SETTLE_MILLISECONDS = 5_000;
 
     private final Deployment deployment;
     private final Site site;
@@ -65,7 +65,7 @@
         this.progress = progress;
     }
 
-    /** Runs the soak: the bookings over the given seconds, with so many faults a minute. */
+    /** Runs the soak with the given bookings, duration and fault rate. */
     Result run(long seed, int bookings, double seconds, double faultsPerMinute)
             throws IOException, InterruptedException {
         start();
@@ -79,8 +79,8 @@
             runner.start(schedule);
             List<CallRecord> sends = load(calls);
             Map<FaultKind, Integer> counts = runner.heal();
-            progress.step("load ended, faults healed, waiting for late work");
-            Thread.sleep(LATE_WORK_MILLISECONDS);
+            progress.step("load ended, faults healed, waiting 5 s for requests still running");
+            Thread.sleep(SETTLE_MILLISECONDS);
             return result(sends, counts);
         }
     }
@@ -107,7 +107,7 @@
 
     private Result result(List<CallRecord> sends, Map<FaultKind, Integer> faults)
             throws IOException {
-        List<Evidence.Run> runs = runs();
+        List<ViolationReport.Run> runs = runs();
         List<UpstreamRuns> ledgers =
                 runs.stream()
                         .map(run -> new UpstreamRuns(run.key(), List.of(run.attempt())))
@@ -120,17 +120,17 @@
                         violations,
                         accountedRefusals.count(site.platformUrl()),
                         OptionalLong.empty());
-        Evidence evidence = new Evidence(runs, sends);
-        return new Result(totals, violations.stream().map(evidence::of).toList(), faults);
+        ViolationReport report = new ViolationReport(runs, sends);
+        return new Result(totals, violations.stream().map(report::of).toList(), faults);
     }
 
-    private List<Evidence.Run> runs() throws IOException {
-        List<Evidence.Run> runs = new ArrayList<>();
+    private List<ViolationReport.Run> runs() throws IOException {
+        List<ViolationReport.Run> runs = new ArrayList<>();
         for (Place place : site.places()) {
             Path ledger = site.ledgerFile(place);
             if (Files.exists(ledger)) {
                 Files.readAllLines(ledger)
-                        .forEach(line -> runs.add(Evidence.Run.parse(place.nodeId(), line)));
+                        .forEach(line -> runs.add(ViolationReport.Run.parse(place.nodeId(), line)));
             }
         }
         return runs;
--- a/bench/src/main/java/org/damaskmoor/bench/soak/SoakCommand.java
+++ b/bench/src/main/java/org/damaskmoor/bench/soak/SoakCommand.java
@@ -21,13 +21,13 @@
 import org.damaskmoor.bench.http.BlockingClient;
 
 /**
- * Books under random kills, freezes, cuts and outages and checks that no promise broke.
+ * Sends bookings under random kills, freezes, cuts and outages and checks the guarantees.
  *
  * <pre>{@code
  * damaskmoor-bench soak --bookings 100000 --seed 7 --minutes 10
  * }</pre>
  *
- * <p>Exit codes: 0 when every promise held, 1 when one broke. Used by one thread.
+ * <p>Exit codes: 0 when all guarantees held, 1 when one was violated. Used by one thread.
  */
 @Command(name = "soak", description = "Bookings under a seeded schedule of faults")
 public final class SoakCommand implements Callable<Integer> {
@@ -35,23 +35,23 @@
     private static final double BOOKINGS_PER_SECOND = 150;
     private static final long PRINT_SECONDS = 10;
 
-    @Option(name = "--bookings", description = "How many bookings are sent, without resends")
+    @Option(name = "--bookings", description = "Number of bookings, not counting resends")
     private int bookings = 2_000;
 
     @Option(name = "--seed", description = "Seed of load and faults")
     private long seed = 1;
 
-    @Option(name = "--minutes", description = "Length of the load; 0 for 150 bookings a second")
+    @Option(name = "--minutes", description = "Duration of the load; 0 for 150 bookings per second")
     private double minutes;
 
-    @Option(name = "--faults-per-minute", description = "How often something goes wrong")
+    @Option(name = "--faults-per-minute", description = "Number of faults per minute")
     private double faultsPerMinute = 20;
 
-    @Option(name = "--deployment", description = "Whose sizes: bern or cotizar")
+    @Option(name = "--deployment", description = "Deployment: bern or cotizar")
     @AllowedRawValues(allowedValues = {"bern", "cotizar"})
     private String deployment = "bern";
 
-    @Option(name = "--examples", description = "Directory of the deployments' files")
+    @Option(name = "--examples", description = "Directory of the deployment files")
     private String examples = "examples";
 
     @Option(name = "--base-port", description = "First port; 0 for the first free block")
--- a/bench/src/main/java/org/damaskmoor/bench/soak/Evidence.java
+++ b/bench/src/main/java/org/damaskmoor/bench/soak/ViolationReport.java
@@ -8,15 +8,15 @@
 import org.damaskmoor.bench.verification.Violation;
 
 /**
- * All that is known of a request whose promise broke: its sends and its runs, with the nodes.
+ * Describes a violation with all sends and runs of its request and the nodes involved.
  *
- * <p>Immutable and safe for all threads.
+ * <p>Immutable and thread safe.
  */
-final class Evidence {
+final class ViolationReport {
     /**
      * One run in an upstream's ledger. Immutable.
      *
-     * @param requestId entry node, its incarnation and the sequence number
+     * @param requestId entry node, its incarnation and the sequence number, as assigned by the node
      */
     record Run(String upstream, String key, int attempt, String requestId) {
         /** Reads one line of an upstream's ledger file. */
@@ -34,7 +34,7 @@
     private final Map<String, List<Run>> runs;
     private final Map<String, List<CallRecord>> sends;
 
-    Evidence(List<Run> runs, List<CallRecord> sends) {
+    ViolationReport(List<Run> runs, List<CallRecord> sends) {
         this.runs = runs.stream().collect(Collectors.groupingBy(Run::key));
         this.sends =
                 sends.stream()
@@ -42,7 +42,7 @@
                         .collect(Collectors.groupingBy(CallRecord::key));
     }
 
-    /** Returns one line about the broken promise. */
+    /** Returns one line about the violation. */
     String of(Violation violation) {
         String key = violation.key();
         return "broken: "
@@ -50,7 +50,7 @@
                 + " key="
                 + key
                 + " sends="
-                + sends.getOrDefault(key, List.of()).stream().map(Evidence::text).toList()
+                + sends.getOrDefault(key, List.of()).stream().map(ViolationReport::text).toList()
                 + " runs="
                 + runs.getOrDefault(key, List.of()).stream().map(Run::text).toList();
     }
--- a/bench/src/main/java/org/damaskmoor/bench/upstream/Announcer.java
+++ b/bench/src/main/java/org/damaskmoor/bench/upstream/Announcer.java
@@ -9,14 +9,13 @@
 import org.damaskmoor.bench.http.JsonObject;
 
 /**
- * Tells the node beside an upstream, again and again, where the upstream is and what state it is
- * in.
+ * Periodically announces the address, capacity and state of an upstream to its node.
  *
- * <p>Invariant: a failed announcement is tried again at the next interval. Not thread safe: one
- * event loop owns it.
+ * <p>Invariant: a failed announcement is retried at the next interval. Not thread safe: confined to
+ * one event loop.
  */
 public final class Announcer {
-    /** What stays the same in every announcement. */
+    /** The constant fields of an announcement. */
     public record Upstream(String service, int port, int slots, int connections) {}
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -41,7 +40,7 @@
         this.state = state;
     }
 
-    /** Announces now and at every interval from now on. Call it on the event loop. */
+    /** Announces now and then at every interval. Must be called on the event loop. */
     public void start() {
         announce();
         reactor.delayBackground(INTERVAL_MILLISECONDS, this::start);
--- a/bench/src/main/java/org/damaskmoor/bench/upstream/EchoBody.java
+++ b/bench/src/main/java/org/damaskmoor/bench/upstream/EchoBody.java
@@ -4,19 +4,19 @@
 import org.damaskmoor.bench.http.JsonObject;
 
 /**
- * The body that an upstream stand-in answers: a function of the request alone, so that a caller can
- * tell byte for byte whether an answer is its own and whole.
+ * The response body of an upstream stand-in. It depends only on the request, so that a caller can
+ * verify byte for byte that an answer is its own and complete.
  *
- * <p>Stateless and safe for all threads.
+ * <p>Stateless and thread safe.
  */
 public final class EchoBody {
-    private static final int LONGEST_REPEAT = 64;
+    private static final int MAXIMUM_REPEATS = 64;
 
     private EchoBody() {}
 
     /** Returns the body that answers a request with this nonce and path. */
     public static ByteString of(String nonce, String path) {
-        int repeats = 1 + Math.floorMod(nonce.hashCode(), LONGEST_REPEAT);
+        int repeats = 1 + Math.floorMod(nonce.hashCode(), MAXIMUM_REPEATS);
         JsonObject body =
                 new JsonObject()
                         .with("nonce", nonce)
--- a/bench/src/main/java/org/damaskmoor/bench/upstream/LedgerFile.java
+++ b/bench/src/main/java/org/damaskmoor/bench/upstream/LedgerFile.java
@@ -9,10 +9,10 @@
 import java.util.function.Consumer;
 
 /**
- * Keeps the lines of a ledger in a file, so that they outlast a kill of the stand-in.
+ * Appends ledger lines to a file, so that they survive a kill of the stand-in.
  *
- * <p>Invariant: a line is in the file, though perhaps not on the disk, when {@link #accept}
- * returns; lines of an earlier process stay. Thread safe.
+ * <p>Invariant: a line is written to the file, but not necessarily synced to disk, when {@link
+ * #accept} returns; lines of an earlier process stay. Thread safe.
  */
 final class LedgerFile implements Consumer<String> {
     private final Path file;
--- a/bench/src/main/java/org/damaskmoor/bench/upstream/RunLedger.java
+++ b/bench/src/main/java/org/damaskmoor/bench/upstream/RunLedger.java
@@ -8,38 +8,41 @@
 import org.damaskmoor.bench.http.JsonObject;
 
 /**
- * Every run of a non-idempotent request at one upstream: what truly happened.
+ * Records every run of a non-idempotent request at one upstream.
  *
- * <p>Invariants: entries are only added; the journal has a run before {@link #ran} returns. Not
- * thread safe: one event loop owns it.
+ * <p>Invariants: append-only; the journal has a run before {@link #record} returns. Not thread
+ * safe: confined to one event loop.
  */
 public final class RunLedger {
     private final Map<String, List<Integer>> attemptsByKey = new LinkedHashMap<>();
     private final Consumer<String> journal;
 
     /**
-     * @param journal takes one JSON object a run, which outlasts this process
+     * @param journal receives one JSON object per run, which must survive this process
      */
     public RunLedger(Consumer<String> journal) {
         this.journal = journal;
     }
 
-    /** A ledger that is lost with its process. */
+    /** Creates a ledger that exists only in memory. */
     public RunLedger() {
         this(line -> {});
     }
 
     /**
-     * Notes that the request with this key ran, in the attempt that its caller numbered.
+     * Records a run of the request with this key, with the attempt number given by its caller.
      *
-     * @param requestId the id under which the nodes know the request
+     * @param requestId request id assigned by the entry node
      */
-    public void ran(String key, int attempt, String requestId) {
+    public void record(String key, int attempt, String requestId) {
         attemptsByKey.computeIfAbsent(key, any -> new ArrayList<>()).add(attempt);
         journal.accept(line(key, List.of(attempt)).with("request_id", requestId).toString());
     }
 
-    /** Returns one JSON object a line: key, runs, and the caller's attempt of each run. */
+    /**
+     * Returns one JSON object per line: key, number of runs, and the caller's attempt number of
+     * each run.
+     */
     public String toJsonLines() {
         StringBuilder lines = new StringBuilder();
         attemptsByKey.forEach((key, attempts) -> lines.append(line(key, attempts)).append('\n'));
--- a/bench/src/main/java/org/damaskmoor/bench/upstream/ServiceTimes.java
+++ b/bench/src/main/java/org/damaskmoor/bench/upstream/ServiceTimes.java
@@ -3,13 +3,13 @@
 import java.util.random.RandomGenerator;
 
 /**
- * How long requests take: half of the typical time fixed, half exponentially distributed.
+ * Random service times: half of the typical time is fixed, half is exponentially distributed.
  *
- * <p>Invariant: the same seed and the same changes give the same times. Not thread safe: one event
- * loop owns it.
+ * <p>Invariant: the same seed and the same changes give the same times. Not thread safe: confined
+ * to one event loop.
  */
 public final class ServiceTimes {
-    /** Time after a start in which requests take longer. */
+    /** Period after a start during which service times are multiplied by the factor. */
     public record ColdStart(long milliseconds, double factor) {}
 
     private final double typicalMilliseconds;
@@ -29,20 +29,20 @@
         this.startedAtMilliseconds = startedAtMilliseconds;
     }
 
-    /** Makes all later requests longer by the factor. */
+    /** Multiplies all later service times by the factor. */
     public void shift(double newFactor) {
         factor = newFactor;
     }
 
-    /** Returns true during the cold start. */
+    /** Returns whether the cold start is in progress. */
     public boolean cold(long nowMilliseconds) {
         return nowMilliseconds - startedAtMilliseconds < coldStart.milliseconds();
     }
 
-    /** Returns the next request's time in milliseconds. */
+    /** Returns the service time of the next request in milliseconds. */
     public long next(long nowMilliseconds) {
-        double spread = 0.5 + 0.5 * random.nextExponential();
+        double variation = 0.5 + 0.5 * random.nextExponential();
         double cold = cold(nowMilliseconds) ? coldStart.factor() : 1;
-        return Math.round(typicalMilliseconds * spread * factor * cold);
+        return Math.round(typicalMilliseconds * variation * factor * cold);
     }
 }
--- a/bench/src/main/java/org/damaskmoor/bench/upstream/Slots.java
+++ b/bench/src/main/java/org/damaskmoor/bench/upstream/Slots.java
@@ -4,12 +4,13 @@
 import java.util.Queue;
 
 /**
- * A server's slots: so much work at once, the rest waits in order of arrival.
+ * Limits the concurrent work of a server; further work is queued in order of arrival.
  *
- * <p>Invariant: never more work at once than slots. Not thread safe: one event loop owns it.
+ * <p>Invariant: no more work runs at once than there are slots. Not thread safe: confined to one
+ * event loop.
  */
 public final class Slots {
-    /** Work that holds a slot until it runs the given release, once. */
+    /** Work that occupies a slot until it calls the given release, exactly once. */
     @FunctionalInterface
     public interface Work {
         /** Starts the work. */
@@ -29,7 +30,7 @@
         startWaiting();
     }
 
-    /** Returns how much work waits. */
+    /** Returns the number of queued items. */
     public int waiting() {
         return waiting.size();
     }
--- a/bench/src/main/java/org/damaskmoor/bench/upstream/UpstreamFaults.java
+++ b/bench/src/main/java/org/damaskmoor/bench/upstream/UpstreamFaults.java
@@ -4,9 +4,9 @@
 import org.damaskmoor.bench.http.JsonObject;
 
 /**
- * The faults that an upstream stand-in shows at the moment.
+ * The faults currently injected into an upstream stand-in.
  *
- * <p>Each change names only what it changes. Not thread safe: one event loop owns it.
+ * <p>A change affects only the faults that it names. Not thread safe: confined to one event loop.
  */
 public final class UpstreamFaults {
     private boolean failFast;
@@ -14,34 +14,34 @@
     private boolean leaving;
     private String crashOn = "";
 
-    /** Takes over the faults that the JSON object names. */
-    public void change(JsonObject wanted) {
-        failFast = wanted.has("fail_fast") ? wanted.flag("fail_fast") : failFast;
-        shed = wanted.has("shed") ? wanted.flag("shed") : shed;
-        leaving = wanted.has("state") ? isLeaving(wanted) : leaving;
-        crashOn = wanted.text("crash_on", crashOn);
+    /** Applies the faults named in the JSON object. */
+    public void change(JsonObject changes) {
+        failFast = changes.has("fail_fast") ? changes.flag("fail_fast") : failFast;
+        shed = changes.has("shed") ? changes.flag("shed") : shed;
+        leaving = changes.has("state") ? isLeaving(changes) : leaving;
+        crashOn = changes.text("crash_on", crashOn);
     }
 
-    private static boolean isLeaving(JsonObject wanted) {
-        return wanted.text("state", "").equals("leaving");
+    private static boolean isLeaving(JsonObject changes) {
+        return changes.text("state", "").equals("leaving");
     }
 
-    /** Returns true when every request fails at once with 500. */
+    /** Returns whether every request fails immediately with 500. */
     public boolean failFast() {
         return failFast;
     }
 
-    /** Returns true when every request is refused without being run. */
+    /** Returns whether every request is refused without being run. */
     public boolean shed() {
         return shed;
     }
 
-    /** Returns true when the upstream announces that it leaves. */
+    /** Returns whether the upstream announces that it is leaving. */
     public boolean leaving() {
         return leaving;
     }
 
-    /** Returns true when this request crashes the process. */
+    /** Returns whether this request crashes the process. */
     public boolean crashes(String path, String body) {
         return Optional.of(crashOn)
                 .filter(text -> !text.isEmpty())
--- a/bench/src/main/java/org/damaskmoor/bench/upstream/UpstreamServlet.java
+++ b/bench/src/main/java/org/damaskmoor/bench/upstream/UpstreamServlet.java
@@ -13,19 +13,23 @@
 import io.activej.promise.SettablePromise;
 import io.activej.reactor.nio.NioReactor;
 import java.util.Optional;
-import org.damaskmoor.bench.http.Fields;
+import org.damaskmoor.bench.http.HttpFields;
 import org.damaskmoor.bench.http.JsonObject;
 import org.damaskmoor.bench.http.Reply;
 
 /**
- * An upstream stand-in: runs requests in its slots, answers {@link EchoBody}, and keeps a ledger of
- * what it ran under {@code GET /stand-in/ledger}. {@code POST /stand-in/faults} switches faults.
+ * An upstream stand-in: runs requests in its slots, answers with {@link EchoBody}, and serves the
+ * ledger of its runs at {@code GET /stand-in/ledger}. {@code POST /stand-in/faults} changes the
+ * injected faults.
  *
  * <p>Invariants: a run is in the ledger before its work starts; a request whose deadline passed or
- * whose connection closed while it waited is not run. Not thread safe: one event loop owns it.
+ * whose connection closed while it was queued is not run. Not thread safe: confined to one event
+ * loop.
  */
 public final class UpstreamServlet implements AsyncServlet {
-    /** Numbers a caller's sends of one request; passed through by the nodes. */
+    /**
+     * Number of a send among the caller's sends of one request; forwarded unchanged by the nodes.
+     */
     public static final HttpHeader ATTEMPT = HttpHeaders.of("Attempt");
 
     private final NioReactor reactor;
@@ -35,7 +39,7 @@
     private final Runnable crash;
     private final RunLedger ledger;
     private long served;
-    private long heldNanoseconds;
+    private long busyNanoseconds;
 
     public UpstreamServlet(
             NioReactor reactor,
@@ -62,10 +66,10 @@
 
     @Override
     public Promise<HttpResponse> serve(HttpRequest request) {
-        return request.loadBody().then(body -> serveWhole(request, body.getString(UTF_8)));
+        return request.loadBody().then(body -> serveLoaded(request, body.getString(UTF_8)));
     }
 
-    private Promise<HttpResponse> serveWhole(HttpRequest request, String body) {
+    private Promise<HttpResponse> serveLoaded(HttpRequest request, String body) {
         String path = request.getPath();
         if (path.startsWith("/stand-in/")) {
             return Promise.of(control(path, body).toResponse());
@@ -100,24 +104,24 @@
             answer.set(notRun());
             return;
         }
-        note(request);
+        recordRun(request);
         ByteString body = echo(request);
         long startedAt = System.nanoTime();
         reactor.delay(
                 times.next(now),
                 () -> {
-                    heldNanoseconds += System.nanoTime() - startedAt;
+                    busyNanoseconds += System.nanoTime() - startedAt;
                     release.run();
                     answer.set(Reply.of(200, body).toResponse());
                 });
     }
 
-    private void note(HttpRequest request) {
+    private void recordRun(HttpRequest request) {
         served++;
         if (request.getMethod() == HttpMethod.POST) {
-            String key = header(request, Fields.IDEMPOTENCY_KEY).orElse(nonce(request));
+            String key = header(request, HttpFields.IDEMPOTENCY_KEY).orElse(nonce(request));
             int attempt = header(request, ATTEMPT).map(Integer::parseInt).orElse(1);
-            ledger.ran(key, attempt, header(request, Fields.REQUEST_ID).orElse(""));
+            ledger.record(key, attempt, header(request, HttpFields.REQUEST_ID).orElse(""));
         }
     }
 
@@ -134,24 +138,24 @@
         JsonObject counts =
                 new JsonObject()
                         .with("served", served)
-                        .with("held_nanoseconds", heldNanoseconds)
+                        .with("held_nanoseconds", busyNanoseconds)
                         .with("waiting", slots.waiting());
         return Reply.of(200, counts.toString());
     }
 
-    private Reply change(JsonObject wanted) {
-        faults.change(wanted);
-        if (wanted.has("service_time_factor")) {
-            times.shift(wanted.number("service_time_factor", 1));
+    private Reply change(JsonObject changes) {
+        faults.change(changes);
+        if (changes.has("service_time_factor")) {
+            times.shift(changes.number("service_time_factor", 1));
         }
-        long freeze = (long) wanted.number("freeze_milliseconds", 0);
+        long freeze = (long) changes.number("freeze_milliseconds", 0);
         if (freeze > 0) {
             reactor.delay(1, () -> freeze(freeze));
         }
         return Reply.of(204);
     }
 
-    /** Holds up everything in this process, as a stopped VM would. */
+    /** Blocks the event loop, like a suspended VM. */
     private static void freeze(long milliseconds) {
         try {
             Thread.sleep(milliseconds);
@@ -161,7 +165,7 @@
     }
 
     private static HttpResponse notRun() {
-        return Reply.of(503).withOutcome(Fields.NOT_RUN).toResponse();
+        return Reply.of(503).withOutcome(HttpFields.NOT_RUN).toResponse();
     }
 
     private static ByteString echo(HttpRequest request) {
@@ -169,13 +173,13 @@
     }
 
     private static String nonce(HttpRequest request) {
-        return header(request, Fields.NONCE)
+        return header(request, HttpFields.NONCE)
                 .or(() -> Optional.ofNullable(request.getQueryParameter("nonce")))
                 .orElse("");
     }
 
     private static long deadlineMilliseconds(HttpRequest request) {
-        return header(request, Fields.DEADLINE_MILLISECONDS)
+        return header(request, HttpFields.DEADLINE_MILLISECONDS)
                 .map(Long::parseLong)
                 .orElse((long) Integer.MAX_VALUE);
     }
--- a/bench/src/main/java/org/damaskmoor/bench/upstream/UpstreamStandInCommand.java
+++ b/bench/src/main/java/org/damaskmoor/bench/upstream/UpstreamStandInCommand.java
@@ -13,7 +13,7 @@
 import org.damaskmoor.bench.http.LoopbackClient;
 import org.damaskmoor.bench.upstream.ServiceTimes.ColdStart;
 
-/** Runs the stand-in of one upstream until it is ended. Used by one thread. */
+/** Runs an upstream stand-in until the process is terminated. Used by one thread. */
 @Command(name = "upstream-stand-in", description = "An upstream with slots, faults and a ledger")
 public final class UpstreamStandInCommand implements Callable<Integer> {
     private static final int CRASH_EXIT_CODE = 137;
@@ -27,16 +27,16 @@
     @Required
     private int port;
 
-    @Option(name = "--control-url", description = "Control address of the node beside it")
+    @Option(name = "--control-url", description = "Control URL of its node")
     private String controlUrl = "";
 
-    @Option(name = "--slots", description = "Requests run at once")
+    @Option(name = "--slots", description = "Maximum number of concurrent requests")
     private int slots = 10;
 
-    @Option(name = "--connections", description = "Connections announced")
+    @Option(name = "--connections", description = "Announced connection limit")
     private int connections = 250;
 
-    @Option(name = "--ledger-file", description = "File that keeps every run through restarts")
+    @Option(name = "--ledger-file", description = "File that records every run across restarts")
     private String ledgerFile = "";
 
     @Option(name = "--seed", description = "Seed of the service times")
@@ -45,10 +45,10 @@
     @Option(name = "--service-milliseconds", description = "Typical service time")
     private double serviceMilliseconds = 10;
 
-    @Option(name = "--cold-start-milliseconds", description = "Length of the cold start")
+    @Option(name = "--cold-start-milliseconds", description = "Duration of the cold start")
     private long coldStartMilliseconds;
 
-    @Option(name = "--cold-start-factor", description = "Service times during the cold start")
+    @Option(name = "--cold-start-factor", description = "Service time factor during the cold start")
     private double coldStartFactor = 5;
 
     @Override
--- a/bench/src/main/java/org/damaskmoor/bench/verification/InvariantChecker.java
+++ b/bench/src/main/java/org/damaskmoor/bench/verification/InvariantChecker.java
@@ -9,16 +9,16 @@
 import org.damaskmoor.bench.verification.Violation.Kind;
 
 /**
- * Holds what callers were told against what upstreams ran.
+ * Compares the outcomes reported to callers with the runs recorded by upstreams.
  *
  * <pre>{@code
- * List<Violation> broken = new InvariantChecker(runs).check(callRecords);
+ * List<Violation> violations = new InvariantChecker(runs).check(callRecords);
  * }</pre>
  *
- * <p>Immutable and safe for all threads.
+ * <p>Immutable and thread safe.
  */
 public final class InvariantChecker {
-    private static final String DONE = "status-200";
+    private static final String SUCCESS_REASON = "status-200";
 
     private final Map<String, List<Integer>> attemptsByKey = new HashMap<>();
 
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Returns every broken promise. */
+    /** Returns every violation. */
     public List<Violation> check(List<CallRecord> records) {
         List<Violation> found = new ArrayList<>();
         attemptsByKey.forEach((key, attempts) -> checkRuns(key, attempts, found));
@@ -58,8 +58,9 @@
         if (line.outcome() == Outcome.REFUSED && attempts.contains(line.attempt())) {
             found.add(new Violation(Kind.FALSE_NOT_RUN, line.key(), "refused " + line.reason()));
         }
-        boolean done = line.outcome() == Outcome.ANSWERED && line.reason().equals(DONE);
-        if (done && attempts.isEmpty()) {
+        boolean succeeded =
+                line.outcome() == Outcome.ANSWERED && line.reason().equals(SUCCESS_REASON);
+        if (succeeded && attempts.isEmpty()) {
             found.add(new Violation(Kind.ANSWERED_WITHOUT_RUN, line.key(), "no run"));
         }
     }
--- a/bench/src/main/java/org/damaskmoor/bench/verification/Latencies.java
+++ b/bench/src/main/java/org/damaskmoor/bench/verification/Latencies.java
@@ -8,9 +8,9 @@
 import org.damaskmoor.bench.load.Outcome;
 
 /**
- * Quantiles of the latency of answered requests, counted from when each was due.
+ * Latency percentiles of answered requests, measured from the due time of each request.
  *
- * <p>Not changed after construction; safe for all threads.
+ * <p>Not modified after construction; thread safe.
  */
 public final class Latencies {
     private static final int SIGNIFICANT_DIGITS = 3;
@@ -25,7 +25,7 @@
                 .forEach(line -> histogram.recordValue(line.latencyNanoseconds()));
     }
 
-    /** Returns the quantile in milliseconds. */
+    /** Returns the latency at the percentile in milliseconds. */
     public double milliseconds(double percentile) {
         return histogram.getValueAtPercentile(percentile) / NANOSECONDS_PER_MILLISECOND;
     }
--- a/bench/src/main/java/org/damaskmoor/bench/verification/RefusalComparison.java
+++ b/bench/src/main/java/org/damaskmoor/bench/verification/RefusalComparison.java
@@ -14,49 +14,52 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * Holds the refusals that are accounted for against the callers' ledger, by caller and reason.
+ * Compares the accounted refusals with the callers' ledger, by caller and reason.
  *
- * <p>A refusal that was recorded and whose answer did not arrive, because the caller gave up or the
- * node was killed just then, shows as a difference too; the detail tells whether there were sends
- * without any answer.
+ * <p>A recorded refusal whose answer did not arrive, because the caller timed out or the node was
+ * killed, is also reported as a difference; the detail contains the number of sends without an
+ * answer.
  *
  * <pre>{@code
  * List<Violation> differing = new RefusalComparison(callRecords).check(summary);
  * }</pre>
  *
- * <p>Immutable and safe for all threads.
+ * <p>Immutable and thread safe.
  */
 public final class RefusalComparison {
-    private final Map<String, Long> told = new HashMap<>();
-    private final long unheard;
+    private final Map<String, Long> refusedByCallers = new HashMap<>();
+    private final long unanswered;
 
     public RefusalComparison(List<CallRecord> records) {
-        unheard =
+        unanswered =
                 records.stream().filter(line -> line.outcome() == Outcome.TRANSPORT_ERROR).count();
         records.stream()
                 .filter(line -> !line.direct() && line.outcome() == Outcome.REFUSED)
-                .forEach(line -> told.merge(key(line.caller(), line.reason()), 1L, Long::sum));
+                .forEach(
+                        line ->
+                                refusedByCallers.merge(
+                                        key(line.caller(), line.reason()), 1L, Long::sum));
     }
 
-    /** Returns a violation for each caller and reason whose counts differ. */
+    /** Returns one violation for each caller and reason with different counts. */
     public List<Violation> check(RefusalSummary summary) {
         Map<String, Long> accounted = new HashMap<>();
         for (Line line : summary.lines()) {
             String key = key(line.key().caller(), wireName(line.key().reason()));
             accounted.merge(key, line.count(), Long::sum);
         }
-        TreeSet<String> keys = new TreeSet<>(told.keySet());
+        TreeSet<String> keys = new TreeSet<>(refusedByCallers.keySet());
         keys.addAll(accounted.keySet());
         List<Violation> found = new ArrayList<>();
         for (String key : keys) {
-            long expected = told.getOrDefault(key, 0L);
+            long expected = refusedByCallers.getOrDefault(key, 0L);
             long reported = accounted.getOrDefault(key, 0L);
             if (expected != reported) {
                 String detail =
                         String.format(
-                                "callers were told %d, accounted for %d;"
+                                "callers received %d, accounted for %d;"
                                         + " %d sends of all callers got no answer at all",
-                                expected, reported, unheard);
+                                expected, reported, unanswered);
                 found.add(new Violation(Kind.REFUSALS_DIFFER, key, detail));
             }
         }
--- a/bench/src/main/java/org/damaskmoor/bench/verification/Totals.java
+++ b/bench/src/main/java/org/damaskmoor/bench/verification/Totals.java
@@ -9,19 +9,19 @@
 import org.damaskmoor.bench.verification.Violation.Kind;
 
 /**
- * The totals of a run: one line for people and scripts, and a verdict.
+ * The totals of a run, as one line for humans and scripts and as an exit code.
  *
- * <p>Latencies count the measured stage only; all else counts warm-up and measured stage together.
- * Requests count each send; a send without any answer counts as unknown. Immutable.
+ * <p>Latencies cover the measured stage only; all other values cover warm-up and measured stage.
+ * Every send counts as a request; a send without an answer counts as unknown. Immutable.
  */
 public final class Totals {
-    /** Exit code when every promise held and could be checked. */
-    public static final int HELD = 0;
+    /** Exit code when all guarantees were checked and held. */
+    public static final int PASSED = 0;
 
-    /** Exit code when a promise broke. */
-    public static final int BROKEN = 1;
+    /** Exit code when a guarantee was violated. */
+    public static final int VIOLATED = 1;
 
-    /** Exit code when nothing broke but something could not be measured. */
+    /** Exit code when no violation was found but some value could not be measured. */
     public static final int NOT_MEASURED = 3;
 
     private final List<CallRecord> all;
@@ -33,8 +33,8 @@
     /**
      * @param warmUp the records before the measured stage
      * @param measured the records of the measured stage
-     * @param refusalsAccounted refusals found in the object store, empty when not measured
-     * @param measuringBytes bytes spent on measuring load, empty when not measured
+     * @param refusalsAccounted refusals found in the object store; empty if not measured
+     * @param measuringBytes bytes spent on load measurement; empty if not measured
      */
     public Totals(
             List<CallRecord> warmUp,
@@ -50,7 +50,7 @@
         this.measuringBytes = measuringBytes;
     }
 
-    /** Returns how many sends were refused. */
+    /** Returns the number of refused sends. */
     public static long refused(List<CallRecord> records) {
         return count(records, Outcome.REFUSED);
     }
@@ -80,25 +80,25 @@
                 text(measuringBytes));
     }
 
-    /** Returns what routed lookups took longer than direct ones at a quantile, in milliseconds. */
+    /** Returns the latency that routing adds to lookups at a percentile, in milliseconds. */
     private double addedMilliseconds(double percentile) {
         Latencies routed = new Latencies(measured, line -> !line.direct() && !line.nonIdempotent());
         Latencies direct = new Latencies(measured, CallRecord::direct);
         return routed.milliseconds(percentile) - direct.milliseconds(percentile);
     }
 
-    /** Returns every broken promise. */
+    /** Returns every violation. */
     public List<Violation> violations() {
         return violations;
     }
 
-    /** Returns the exit code that the run deserves. */
+    /** Returns the exit code for this run. */
     public int exitCode() {
         boolean accounted = refusalsAccounted.orElse(refused(all)) == refused(all);
         if (!violations.isEmpty() || !accounted) {
-            return BROKEN;
+            return VIOLATED;
         }
-        return refusalsAccounted.isPresent() ? HELD : NOT_MEASURED;
+        return refusalsAccounted.isPresent() ? PASSED : NOT_MEASURED;
     }
 
     private long count(Kind kind) {
--- a/bench/src/main/java/org/damaskmoor/bench/verification/UpstreamRuns.java
+++ b/bench/src/main/java/org/damaskmoor/bench/verification/UpstreamRuns.java
@@ -7,14 +7,14 @@
  * The runs of one non-idempotent request at one upstream. Immutable.
  *
  * @param key the Idempotency-Key
- * @param attempts the caller's attempt that each run belonged to
+ * @param attempts the caller's attempt number of each run
  */
 public record UpstreamRuns(String key, List<Integer> attempts) {
     public UpstreamRuns {
         attempts = List.copyOf(attempts);
     }
 
-    /** Reads an upstream's ledger. */
+    /** Parses an upstream's ledger. */
     public static List<UpstreamRuns> parse(String jsonLines) {
         return jsonLines.lines().map(JsonObject::parse).map(UpstreamRuns::of).toList();
     }
--- a/bench/src/main/java/org/damaskmoor/bench/verification/Violation.java
+++ b/bench/src/main/java/org/damaskmoor/bench/verification/Violation.java
@@ -1,24 +1,24 @@
 package org.damaskmoor.bench.verification;
 
 /**
- * One broken promise. Immutable.
+ * A violated guarantee. Immutable.
  *
- * @param kind which promise
- * @param key the request
- * @param detail what was seen
+ * @param kind which guarantee
+ * @param key the idempotency key of the request, or caller and reason of refusals
+ * @param detail the observation
  */
 public record Violation(Kind kind, String key, String detail) {
-    /** The promises that the ledgers can prove broken. */
+    /** The violations that the ledgers can prove. */
     public enum Kind {
         /** A non-idempotent request ran more than once. */
         RAN_TWICE,
-        /** A send was refused as not run and ran. */
+        /** A send was refused as not run but ran. */
         FALSE_NOT_RUN,
-        /** An answer was another request's or not whole. */
+        /** An answer belonged to another request or was incomplete. */
         CROSSED_ANSWER,
-        /** A booking was answered as done and no upstream ran it. */
+        /** A booking was answered with success but no upstream ran it. */
         ANSWERED_WITHOUT_RUN,
-        /** The refusals accounted for are not those that a caller was told, for one reason. */
+        /** The accounted refusals differ from those that a caller received, for one reason. */
         REFUSALS_DIFFER
     }
 }
--- a/bench/src/test/java/org/damaskmoor/bench/link/LinkFileTest.java
+++ b/bench/src/test/java/org/damaskmoor/bench/link/LinkFileTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void should_tell_regions_from_data_centres_when_asked_for_a_link() {
+    void should_use_the_region_profile_when_data_centres_are_in_different_regions() {
         LinkTable links = new LinkTable("bern-nord", file(""), () -> 0);
 
         assertThat(links.find(at(7400))).isEmpty();
@@ -44,14 +44,14 @@
     void should_cut_only_the_named_link_when_the_file_changes() {
         // given
         LinkTable links = new LinkTable("bern-nord", file(""), () -> 0);
-        Link near = links.find(at(7500)).get().outgoing();
-        Link far = links.find(at(7600)).get().outgoing();
+        Link dataCentreLink = links.find(at(7500)).get().outgoing();
+        Link regionLink = links.find(at(7600)).get().outgoing();
 
         // when
         links.change(file("\"oberland/mittelland\""));
 
         // then
-        assertThat(near.profile().cut()).isFalse();
-        assertThat(far.profile().cut()).isTrue();
+        assertThat(dataCentreLink.profile().cut()).isFalse();
+        assertThat(regionLink.profile().cut()).isTrue();
     }
 }
--- a/bench/src/test/java/org/damaskmoor/bench/link/StreamLinkHandlerTest.java
+++ b/bench/src/test/java/org/damaskmoor/bench/link/StreamLinkHandlerTest.java
@@ -32,7 +32,7 @@
         channel.finishAndReleaseAll();
     }
 
-    private void pass(long milliseconds) {
+    private void advance(long milliseconds) {
         now += TimeUnit.MILLISECONDS.toNanos(milliseconds);
         channel.advanceTimeBy(milliseconds, TimeUnit.MILLISECONDS);
         channel.runScheduledPendingTasks();
@@ -61,15 +61,15 @@
     void should_deliver_in_order_after_the_delay_when_written() {
         // given
         write("a");
-        pass(10);
+        advance(10);
         write("b");
 
         // when
-        pass(19);
+        advance(19);
         List<String> before = sent();
-        pass(1);
+        advance(1);
         List<String> atDelay = sent();
-        pass(10);
+        advance(10);
 
         // then
         assertThat(before).isEmpty();
@@ -85,9 +85,9 @@
         write("b");
 
         // when
-        pass(29);
+        advance(29);
         List<String> before = sent();
-        pass(1);
+        advance(1);
 
         // then
         assertThat(before).isEmpty();
@@ -95,16 +95,16 @@
     }
 
     @Test
-    void should_take_the_time_of_the_rate_when_the_link_is_narrow() {
+    void should_delay_by_transmission_time_when_the_rate_is_limited() {
         // given
         outgoing.change(new Link.Profile(0, 8_000, false, 0));
 
         // when
         write("0123456789");
         write("abcdefghij");
-        pass(10);
+        advance(10);
         List<String> first = sent();
-        pass(10);
+        advance(10);
 
         // then
         assertThat(first).containsExactly("0123456789");
@@ -116,12 +116,12 @@
         // given
         outgoing.change(new Link.Profile(0, 0, true, 0));
         write("a");
-        pass(5000);
+        advance(5000);
         List<String> whileCut = sent();
 
         // when
         outgoing.change(new Link.Profile(0, 0, false, 0));
-        pass(50);
+        advance(50);
 
         // then
         assertThat(whileCut).isEmpty();
@@ -129,14 +129,14 @@
     }
 
     @Test
-    void should_stay_silent_for_good_when_silenced_after_opening() {
+    void should_drop_bytes_in_both_directions_when_silenced_after_opening() {
         // given
         outgoing.change(new Link.Profile(0, 0, false, 1));
 
         // when
         write("a");
         channel.writeInbound(text("b"));
-        pass(5000);
+        advance(5000);
 
         // then
         assertThat(sent()).isEmpty();
@@ -152,7 +152,7 @@
         // when
         ChannelFuture closing = channel.pipeline().close();
         boolean closedBefore = closing.isDone();
-        pass(30);
+        advance(30);
 
         // then
         assertThat(closedBefore).isFalse();
--- a/bench/src/test/java/org/damaskmoor/bench/load/ScheduleTest.java
+++ b/bench/src/test/java/org/damaskmoor/bench/load/ScheduleTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void should_be_in_order_with_distinct_nonces_when_planned() {
+    void should_order_by_due_time_with_unique_nonces_when_planned() {
         List<PlannedCall> calls = plan(1);
 
         assertThat(calls.stream().map(PlannedCall::dueNanoseconds).toList()).isInOrder();
--- a/bench/src/test/java/org/damaskmoor/bench/platform/PlatformFaultsTest.java
+++ b/bench/src/test/java/org/damaskmoor/bench/platform/PlatformFaultsTest.java
@@ -8,7 +8,7 @@
 
 class PlatformFaultsTest {
     @Test
-    void should_end_by_itself_when_its_time_is_over() {
+    void should_expire_when_its_duration_has_passed() {
         // given
         PlatformFaults faults = new PlatformFaults();
 
--- a/bench/src/test/java/org/damaskmoor/bench/platform/PlatformServletTest.java
+++ b/bench/src/test/java/org/damaskmoor/bench/platform/PlatformServletTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void should_refuse_second_creation_when_row_stands() throws IOException {
+    void should_refuse_creation_when_row_exists() throws IOException {
         // given
         Reply created = client.create(url + "/tables/leases/rows/a%20b", FIRST);
 
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void should_take_effect_without_an_answer_when_answers_are_lost() throws IOException {
+    void should_apply_writes_without_an_answer_when_answers_are_lost() throws IOException {
         // given
         client.post(url + "/stand-in/faults", "{\"mode\": \"lose-answers\"}");
 
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void should_take_no_effect_when_down() throws IOException {
+    void should_not_apply_writes_when_down() throws IOException {
         // given
         client.post(url + "/stand-in/faults", "{\"mode\": \"down\"}");
 
--- a/bench/src/test/java/org/damaskmoor/bench/platform/TableStoreTest.java
+++ b/bench/src/test/java/org/damaskmoor/bench/platform/TableStoreTest.java
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void should_refuse_a_stale_tag_when_the_row_was_deleted_and_made_again() {
+    void should_refuse_a_stale_tag_when_the_row_was_deleted_and_recreated() {
         // given
         Optional<ByteString> value = Optional.of(ByteString.copyFromUtf8("holder"));
         String stale = write(Condition.ABSENT, value).entityTags().get(0);
--- a/bench/src/test/java/org/damaskmoor/bench/upstream/SlotsTest.java
+++ b/bench/src/test/java/org/damaskmoor/bench/upstream/SlotsTest.java
@@ -8,7 +8,7 @@
 
 class SlotsTest {
     @Test
-    void should_start_waiting_work_in_order_when_slots_become_free() {
+    void should_start_queued_work_in_order_when_slots_become_free() {
         // given
         Slots slots = new Slots(2);
         List<String> started = new ArrayList<>();
--- a/bench/src/test/java/org/damaskmoor/bench/upstream/UpstreamServletTest.java
+++ b/bench/src/test/java/org/damaskmoor/bench/upstream/UpstreamServletTest.java
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void should_note_every_run_when_the_same_booking_comes_twice() throws IOException {
+    void should_record_every_run_when_the_same_booking_arrives_twice() throws IOException {
         // when
         Reply answer = client.post(url + "/bookings/7?nonce=n1", "");
         client.post(url + "/bookings/7?nonce=n1", "");
--- a/bench/src/test/java/org/damaskmoor/bench/verification/TotalsTest.java
+++ b/bench/src/test/java/org/damaskmoor/bench/verification/TotalsTest.java
@@ -30,9 +30,9 @@
 
     @Test
     void should_hold_only_when_every_refusal_is_accounted_for() {
-        assertThat(totals(OptionalLong.of(1)).exitCode()).isEqualTo(Totals.HELD);
-        assertThat(totals(OptionalLong.of(0)).exitCode()).isEqualTo(Totals.BROKEN);
-        assertThat(totals(OptionalLong.of(2)).exitCode()).isEqualTo(Totals.BROKEN);
+        assertThat(totals(OptionalLong.of(1)).exitCode()).isEqualTo(Totals.PASSED);
+        assertThat(totals(OptionalLong.of(0)).exitCode()).isEqualTo(Totals.VIOLATED);
+        assertThat(totals(OptionalLong.of(2)).exitCode()).isEqualTo(Totals.VIOLATED);
         assertThat(totals(OptionalLong.empty()).exitCode()).isEqualTo(Totals.NOT_MEASURED);
     }
 }
