--- a/scripts/GenerateSettingsOptions.java
+++ b/scripts/GenerateSettingsOptions.java
@@ -6,7 +6,7 @@
 import org.damaskmoor.schema.settings.Setting;
 import org.damaskmoor.schema.settings.SettingsProto;
 
-/** Writes one Airline option class and one table of documentation for each settings message. */
+/** Generates an Airline option class and a documentation table for each settings message. */
 final class GenerateSettingsOptions {
     private static final String PACKAGE = "org.damaskmoor.schema.settings";
 
