--- a/bench/src/main/java/org/damaskmoor/bench/capacity/CapacityCommand.java
+++ b/bench/src/main/java/org/damaskmoor/bench/capacity/CapacityCommand.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
-import org.damaskmoor.bench.slope.MembershipSlope;
+import org.damaskmoor.bench.simulation.MembershipSimulation;
 
 /**
  * Measures the slopes that docs/CAPACITY.md works with: what one more member, service, target,
@@ -31,17 +31,19 @@
     @Override
     public Integer call() throws Exception {
         if (idleSeconds > 0) {
-            System.out.println(IdleNode.measure(Duration.ofSeconds(idleSeconds)));
+            System.out.println(IdleNodeMeasurement.measure(Duration.ofSeconds(idleSeconds)));
         }
-        System.out.println(StateSlopes.directory());
-        System.out.println(StateSlopes.configuration());
-        System.out.println(StateSlopes.router());
-        System.out.println(StateSlopes.ledger());
-        System.out.println(StateSlopes.refusals());
+        System.out.println(StateCosts.directory());
+        System.out.println(StateCosts.configuration());
+        System.out.println(StateCosts.router());
+        System.out.println(StateCosts.ledger());
+        System.out.println(StateCosts.refusals());
         for (int size : members.isEmpty() ? DEFAULT_MEMBERS : members) {
             System.out.println(
                     "membership "
-                            + new MembershipSlope(size, SEED).run(MEASURED_MILLISECONDS).line());
+                            + new MembershipSimulation(size, SEED)
+                                    .run(MEASURED_MILLISECONDS)
+                                    .toLine());
         }
         return 0;
     }
--- a/bench/src/main/java/org/damaskmoor/bench/capacity/IdleNode.java
+++ b/bench/src/main/java/org/damaskmoor/bench/capacity/IdleNodeMeasurement.java
@@ -18,14 +18,14 @@
  *
  * <p>Runs the node as a child process with the heap that is meant for a VM, and ends it. Stateless.
  */
-final class IdleNode {
+final class IdleNodeMeasurement {
     private static final String HEAP = "-Xmx48m";
     private static final Duration WARM_UP = Duration.ofSeconds(15);
     private static final double BYTES_PER_MEBIBYTE = 1024.0 * 1024.0;
     private static final String RESIDENT = "VmRSS:";
     private static final int BYTES_PER_KIBIBYTE = 1024;
 
-    private IdleNode() {}
+    private IdleNodeMeasurement() {}
 
     /** Runs one idle node for the given time after its warm-up. */
     static String measure(Duration span) throws IOException, InterruptedException {
--- a/bench/src/main/java/org/damaskmoor/bench/capacity/StateSlopes.java
+++ b/bench/src/main/java/org/damaskmoor/bench/capacity/StateCosts.java
@@ -39,7 +39,7 @@
 import org.damaskmoor.schema.mesh.UpstreamState;
 
 /** The slopes of a node's state: bytes and time for one more unit of each. Stateless. */
-final class StateSlopes {
+final class StateCosts {
     private static final int FEW = 100;
     private static final int MEMBERS = 2_800;
     private static final int SERVICES = 340;
@@ -50,7 +50,7 @@
     private static final int REPETITIONS = 2_000;
     private static final long MINUTE_NANOSECONDS = TimeUnit.MINUTES.toNanos(1);
 
-    private StateSlopes() {}
+    private StateCosts() {}
 
     static String directory() {
         List<MemberRecord> members = members(MEMBERS);
@@ -69,14 +69,14 @@
     }
 
     static String configuration() {
-        double bytes = HeapMeter.bytesPerUnit(FEW, SERVICES, StateSlopes::configured);
+        double bytes = HeapMeter.bytesPerUnit(FEW, SERVICES, StateCosts::configured);
         List<VersionedConfiguration> all = configurations(SERVICES);
         double microseconds = microseconds(() -> ServiceMatcher.of(all));
         return line("service", SERVICES, bytes, "matcher_us", microseconds);
     }
 
     static String router() {
-        double bytes = HeapMeter.bytesPerUnit(FEW, TARGETS, StateSlopes::routed);
+        double bytes = HeapMeter.bytesPerUnit(FEW, TARGETS, StateCosts::routed);
         Router router = routed(TARGETS);
         RoutingRequest view = new RoutingRequest(false, TimeUnit.SECONDS.toNanos(1));
         double microseconds = microseconds(() -> router.choose(view, Set.of(), 1));
@@ -84,12 +84,12 @@
     }
 
     static String ledger() {
-        double bytes = HeapMeter.bytesPerUnit(FEW, CALLS, StateSlopes::remembered);
+        double bytes = HeapMeter.bytesPerUnit(FEW, CALLS, StateCosts::remembered);
         return line("remembered_call", CALLS, bytes, "answer_bytes", 0);
     }
 
     static String refusals() {
-        double bytes = HeapMeter.bytesPerUnit(FEW, REFUSAL_KEYS, StateSlopes::refused);
+        double bytes = HeapMeter.bytesPerUnit(FEW, REFUSAL_KEYS, StateCosts::refused);
         return line("refusal_key", REFUSAL_KEYS, bytes, "keys_per_node_most", 4_096);
     }
 
--- a/bench/src/main/java/org/damaskmoor/bench/demo/Demo.java
+++ b/bench/src/main/java/org/damaskmoor/bench/demo/Demo.java
@@ -77,7 +77,8 @@
         Schedule measured =
                 new Schedule(deployment.requests(), random, "load-" + seed, Shares.DEMO);
         List<CallRecord> records;
-        try (FaultPlan faults = new FaultPlan(site.places(), children, client, progress)) {
+        try (DemoFaultInjector faults =
+                new DemoFaultInjector(site.places(), children, client, progress)) {
             faults.start();
             records = load(measured.plan(rate, LOAD_SECONDS));
         }
--- a/bench/src/main/java/org/damaskmoor/bench/demo/FaultPlan.java
+++ b/bench/src/main/java/org/damaskmoor/bench/demo/DemoFaultInjector.java
@@ -13,7 +13,7 @@
  *
  * <p>Used by one thread; the faults run on a timer thread.
  */
-final class FaultPlan implements AutoCloseable {
+final class DemoFaultInjector implements AutoCloseable {
     private static final long KILL_AFTER_SECONDS = 5;
     private static final long DRAIN_AFTER_SECONDS = 9;
 
@@ -24,7 +24,7 @@
     private final Progress progress;
     private final Timer timer = new Timer("faults", true);
 
-    FaultPlan(
+    DemoFaultInjector(
             List<Place> places, ChildProcesses children, BlockingClient client, Progress progress) {
         this.killed = places.get(1);
         this.drained = places.get(places.size() - 1);
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/AddedLatencyCommand.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/AddedLatencyCommand.java
@@ -73,11 +73,11 @@
             throws IOException, InterruptedException {
         Schedule schedule =
                 new Schedule(
-                        ExperimentService.requests(0),
+                        ExperimentService.requestKinds(0),
                         new Random(seed + stage.hashCode()),
                         stage + "-" + seed,
                         new Shares(0, DIRECT_SHARE));
-        List<URI> entries = site.entries();
+        List<URI> entries = site.entryUrls();
         URI entryWithoutUpstream = entries.get(entries.size() - 1);
         URI upstream = site.upstreamUrls().get(0);
         return new LoadRun(List.of(entryWithoutUpstream), List.of(upstream), line -> {})
@@ -87,7 +87,7 @@
     private int report(List<CallRecord> records) {
         Latencies direct = new Latencies(records, CallRecord::direct);
         Latencies routed = new Latencies(records, line -> !line.direct());
-        Tally tally = new Tally(records);
+        CallStatistics tally = new CallStatistics(records);
         double added = routed.milliseconds(99) - direct.milliseconds(99);
         System.out.printf(
                 Locale.ROOT,
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/Tally.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/CallStatistics.java
@@ -15,7 +15,7 @@
  * #FAILURE_MILLISECONDS} in the latencies, so that a policy gains nothing by failing fast. Not
  * changed after construction; safe for all threads.
  */
-final class Tally {
+final class CallStatistics {
     /** The latency that a request without a useful answer counts with. */
     static final long FAILURE_MILLISECONDS = 1000;
 
@@ -34,7 +34,7 @@
     private long failed;
     private long unknown;
 
-    Tally(List<CallRecord> records) {
+    CallStatistics(List<CallRecord> records) {
         records.forEach(this::add);
     }
 
@@ -91,7 +91,7 @@
     }
 
     /** Returns how often requests ended without a useful answer, by outcome and reason. */
-    Map<String, Long> reasons() {
+    Map<String, Long> failuresByReason() {
         return reasons;
     }
 
@@ -119,7 +119,7 @@
      *
      * @param inTime the part of this tally that ended while the load lasted
      */
-    double goodput(double capacityRequests, Tally inTime) {
+    double goodput(double capacityRequests, CallStatistics inTime) {
         double bookingsPossible = Math.min((double) bookingsSent, capacityRequests);
         double lookupsPossible =
                 Math.min((double) lookupsSent, capacityRequests - bookingsPossible);
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/ExperimentCommand.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/ExperimentCommand.java
@@ -51,7 +51,7 @@
         Path directory = Files.createDirectories(Path.of(outputDirectory));
         System.out.println(
                 "a request without a useful answer counts with "
-                        + Tally.FAILURE_MILLISECONDS
+                        + CallStatistics.FAILURE_MILLISECONDS
                         + " ms; seed="
                         + seed
                         + " seconds="
@@ -80,7 +80,7 @@
     private List<Policy> chosenPolicies() {
         return policies.isEmpty()
                 ? List.of(Policy.values())
-                : policies.stream().map(Policy::named).toList();
+                : policies.stream().map(Policy::fromLabel).toList();
     }
 
     /** Runs the product once in vain, so that the first policy isn't measured uncompiled. */
@@ -95,16 +95,16 @@
             results.add(new PolicyRun(scenario, seconds, seed).run(policy));
         }
         List<Verdict> verdicts = Verdict.of(scenario, results);
-        System.out.print(ResultTable.text(results));
-        System.out.print(ResultTable.views(results));
-        verdicts.forEach(verdict -> System.out.println(verdict.line()));
+        System.out.print(ResultTable.formatTable(results));
+        System.out.print(ResultTable.formatUserViews(results));
+        verdicts.forEach(verdict -> System.out.println(verdict.toLine()));
         System.out.println();
         LatencyPlot.write(scenario.name(), results, directory.resolve(scenario.name() + ".png"));
         append(
                 directory.resolve("results.jsonl"),
-                results.stream().map(ResultTable::json).toList());
-        append(directory.resolve("verdicts.txt"), verdicts.stream().map(Verdict::line).toList());
-        return verdicts.stream().allMatch(verdict -> verdict.word().equals("met"));
+                results.stream().map(ResultTable::toJson).toList());
+        append(directory.resolve("verdicts.txt"), verdicts.stream().map(Verdict::toLine).toList());
+        return verdicts.stream().allMatch(verdict -> verdict.status().equals("met"));
     }
 
     private static void append(Path file, List<String> lines) throws IOException {
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/ExperimentService.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/ExperimentService.java
@@ -45,7 +45,7 @@
                 .build();
     }
 
-    static List<RequestKind> requests(double bookingShare) {
+    static List<RequestKind> requestKinds(double bookingShare) {
         List<String> callers = List.of("resident", "staff");
         return List.of(
                 new RequestKind(1 - bookingShare, "/visits", false, callers),
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/ExperimentSite.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/ExperimentSite.java
@@ -39,7 +39,7 @@
 
     private final Scenario scenario;
     private final long seed;
-    private final List<Place> places;
+    private final List<ExperimentVm> places;
     private final int platformPort;
     private final BlockingClient client = new BlockingClient(CONTROL_TIMEOUT);
     private final List<AutoCloseable> standIns = new ArrayList<>();
@@ -50,18 +50,18 @@
     ExperimentSite(Scenario scenario, long seed) throws IOException {
         this.scenario = scenario;
         this.seed = seed;
-        this.platformPort = PortBlocks.firstFree(1 + scenario.upstreams() * Place.PORTS);
-        this.places = Place.of(scenario, platformPort + 1);
+        this.platformPort = PortBlocks.firstFree(1 + scenario.upstreams() * ExperimentVm.PORTS);
+        this.places = ExperimentVm.layOut(scenario, platformPort + 1);
     }
 
     /** Starts everything and waits until all nodes take callers. */
     void start(Policy policy, int coldUpstreams) throws IOException, InterruptedException {
         standIns.add(new EventLoopServer("platform", platformPort, PlatformServlet::new));
-        new TableServiceApplier(client, Place.url(platformPort))
+        new TableServiceApplier(client, ExperimentVm.url(platformPort))
                 .apply(ExperimentService.configuration());
-        LinkFile links = new LinkFile(Place.linkFile(scenario, places));
+        LinkFile links = new LinkFile(ExperimentVm.linkFile(scenario, places));
         NodeOptions options = policy.options(this::observed);
-        for (Place place : places) {
+        for (ExperimentVm place : places) {
             LinkTable table = new LinkTable(place.dataCentre(), links, System::nanoTime);
             NodeProcess node = new NodeProcess(settings(place), Optional.empty(), table, options);
             nodes.add(node);
@@ -73,19 +73,19 @@
         awaitReady();
     }
 
-    private ObservedRouter observed(org.damaskmoor.core.routing.Router router) {
+    private InstrumentedRouter observed(org.damaskmoor.core.routing.Router router) {
         long delay = TimeUnit.MILLISECONDS.toNanos(scenario.reportDelayMilliseconds());
-        return new ObservedRouter(router, delay, attempts);
+        return new InstrumentedRouter(router, delay, attempts);
     }
 
     /** Starts the upstreams that were left out. */
-    void startCold(ColdStart coldStart) throws IOException {
+    void startColdUpstreams(ColdStart coldStart) throws IOException {
         for (int i = upstreams.size(); i < places.size(); i++) {
             startUpstream(places.get(i), coldStart);
         }
     }
 
-    private void startUpstream(Place place, ColdStart coldStart) throws IOException {
+    private void startUpstream(ExperimentVm place, ColdStart coldStart) throws IOException {
         upstreams.add(
                 new ExperimentUpstream(
                         new ExperimentUpstream.Start(
@@ -98,7 +98,7 @@
         standIns.add(upstreams.get(upstreams.size() - 1));
     }
 
-    private NodeSettings settings(Place place) {
+    private NodeSettings settings(ExperimentVm place) {
         Map<String, String> flags =
                 Map.of(
                         "--node-id", place.nodeId(),
@@ -109,8 +109,8 @@
                         "--gossip-port", String.valueOf(place.gossipPort()),
                         "--control-port", String.valueOf(place.controlPort()),
                         "--operator-port", String.valueOf(place.operatorPort()),
-                        "--table-service-url", Place.url(platformPort),
-                        "--object-store-url", Place.url(platformPort));
+                        "--table-service-url", ExperimentVm.url(platformPort),
+                        "--object-store-url", ExperimentVm.url(platformPort));
         try {
             return SettingsReader.read(NodeSettings.getDefaultInstance(), flags, Map.of());
         } catch (SettingsException e) {
@@ -120,7 +120,7 @@
 
     private void awaitReady() throws IOException, InterruptedException {
         long end = System.nanoTime() + READY_TIMEOUT.toNanos();
-        for (Place place : places) {
+        for (ExperimentVm place : places) {
             while (client.get(place.controlUrl() + "/ready").status() != 200) {
                 if (System.nanoTime() > end) {
                     throw new IOException("not ready in time: " + place.nodeId());
@@ -131,7 +131,7 @@
     }
 
     /** Returns where callers send. */
-    List<URI> entries() {
+    List<URI> entryUrls() {
         return places.stream()
                 .filter(place -> scenario.entryRegions().contains(place.region()))
                 .map(place -> URI.create(place.entryUrl()))
@@ -158,7 +158,7 @@
         }
         long measuring = 0;
         long paid = 0;
-        for (Place place : places) {
+        for (ExperimentVm place : places) {
             JsonObject metrics = json(place.controlUrl() + "/metrics.json");
             measuring += sum(metrics, "damaskmoor_measuring_bytes_total");
             paid += sum(metrics, "damaskmoor_paid_link_measuring_bytes_total");
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/ExperimentUpstream.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/ExperimentUpstream.java
@@ -28,7 +28,7 @@
     /** What an upstream is started with. Immutable. */
     record Start(
             String service,
-            Place place,
+            ExperimentVm place,
             int slots,
             double serviceMilliseconds,
             ColdStart coldStart,
@@ -72,7 +72,7 @@
     }
 
     /** Makes all later requests longer by the factor. */
-    void slowDown(double factor) {
+    void setServiceTimeFactor(double factor) {
         server.eventLoop().execute(() -> times.shift(factor));
     }
 
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/Place.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/ExperimentVm.java
@@ -9,27 +9,27 @@
  *
  * @param basePort the first of their ports
  */
-record Place(String nodeId, String region, String dataCentre, int basePort) {
+record ExperimentVm(String nodeId, String region, String dataCentre, int basePort) {
     static final int PORTS = 6;
 
     /** Returns the places of all upstreams of the scenario, in the order of its sites. */
-    static List<Place> of(Scenario scenario, int firstPort) {
-        List<Place> places = new ArrayList<>();
+    static List<ExperimentVm> layOut(Scenario scenario, int firstPort) {
+        List<ExperimentVm> places = new ArrayList<>();
         for (Scenario.Site site : scenario.sites()) {
             for (int i = 0; i < site.upstreams(); i++) {
                 int basePort = firstPort + places.size() * PORTS;
                 String nodeId = "node-" + (places.size() + 1);
-                places.add(new Place(nodeId, site.region(), site.dataCentre(), basePort));
+                places.add(new ExperimentVm(nodeId, site.region(), site.dataCentre(), basePort));
             }
         }
         return places;
     }
 
     /** Returns the link file that says where every port stands. */
-    static JsonObject linkFile(Scenario scenario, List<Place> places) {
+    static JsonObject linkFile(Scenario scenario, List<ExperimentVm> places) {
         JsonObject ports = new JsonObject();
         JsonObject dataCentres = new JsonObject();
-        for (Place place : places) {
+        for (ExperimentVm place : places) {
             ports.with(String.valueOf(place.meshPort()), place.dataCentre());
             ports.with(String.valueOf(place.gossipPort()), place.dataCentre());
             dataCentres.with(place.dataCentre(), place.region());
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/FaultInjector.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/FaultInjector.java
@@ -55,12 +55,12 @@
 
     private void spell() {
         List<ExperimentUpstream> slow = concerned();
-        slow.forEach(upstream -> upstream.slowDown(fault.factor()));
+        slow.forEach(upstream -> upstream.setServiceTimeFactor(fault.factor()));
         long pause = Math.round(fault.pauseMilliseconds() * (0.5 + random.nextDouble()));
         after(
                 fault.spellMilliseconds(),
                 () -> {
-                    slow.forEach(upstream -> upstream.slowDown(1));
+                    slow.forEach(upstream -> upstream.setServiceTimeFactor(1));
                     after(pause, this::spell);
                 });
     }
@@ -79,7 +79,7 @@
 
     private void coldStart() {
         try {
-            site.startCold(new ColdStart(fault.spellMilliseconds(), fault.factor()));
+            site.startColdUpstreams(new ColdStart(fault.spellMilliseconds(), fault.factor()));
         } catch (IOException e) {
             throw new IllegalStateException("the cold upstream could not start", e);
         }
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/FieldReader.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/FieldReader.java
@@ -28,7 +28,7 @@
         known.add(name);
         double value = object.number(name, Double.NaN);
         if (!(value >= least && value <= most)) {
-            fault(name, "must be a number from " + least + " to " + most);
+            addProblem(name, "must be a number from " + least + " to " + most);
             return least;
         }
         return value;
@@ -45,20 +45,20 @@
         known.add(name);
         String value = object.text(name, "");
         if (value.isEmpty()) {
-            fault(name, "must be a text that is not empty");
+            addProblem(name, "must be a text that is not empty");
         }
         return value;
     }
 
     /** Returns the constant that a text with dashes names, or the first when it names none. */
-    <E extends Enum<E>> E constant(String name, Class<E> type) {
+    <E extends Enum<E>> E enumConstant(String name, Class<E> type) {
         String wanted = text(name).replace('-', '_').toUpperCase(Locale.ROOT);
         for (E constant : type.getEnumConstants()) {
             if (constant.name().equals(wanted)) {
                 return constant;
             }
         }
-        fault(name, "must be one of " + List.of(type.getEnumConstants()));
+        addProblem(name, "must be one of " + List.of(type.getEnumConstants()));
         return type.getEnumConstants()[0];
     }
 
@@ -66,7 +66,7 @@
     FieldReader object(String name) {
         known.add(name);
         if (object.has(name) && object.object(name).names().isEmpty()) {
-            fault(name, "must be an object with fields");
+            addProblem(name, "must be an object with fields");
         }
         return new FieldReader(object.object(name), path + name + ".", faults);
     }
@@ -76,7 +76,7 @@
         known.add(name);
         List<JsonObject> found = object.list(name, JsonObject.class);
         if (found.isEmpty()) {
-            fault(name, "must be a list of objects that is not empty");
+            addProblem(name, "must be a list of objects that is not empty");
         }
         return java.util.stream.IntStream.range(0, found.size())
                 .mapToObj(i -> new FieldReader(found.get(i), path + name + "[" + i + "].", faults))
@@ -89,19 +89,19 @@
     }
 
     /** Returns the object itself, all of whose fields are read elsewhere. */
-    JsonObject whole() {
+    JsonObject rawObject() {
         known.addAll(object.names());
         return object;
     }
 
     /** Notes all fields that were not asked for. */
-    void rejectOthers() {
+    void rejectUnknownFields() {
         object.names().stream()
                 .filter(name -> !known.contains(name))
-                .forEach(name -> fault(name, "is not known here"));
+                .forEach(name -> addProblem(name, "is not known here"));
     }
 
-    void fault(String name, String what) {
+    void addProblem(String name, String what) {
         faults.add(path + name + " " + what);
     }
 }
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/ObservedRouter.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/InstrumentedRouter.java
@@ -28,7 +28,7 @@
  * that is as old as the delay; before there is one it hears an empty report. Not thread-safe, but
  * for the counter.
  */
-final class ObservedRouter implements Router {
+final class InstrumentedRouter implements Router {
     private final Router router;
     private final long delayNanoseconds;
     private final LongAdder attempts;
@@ -36,7 +36,7 @@
 
     private record Heard(LoadReport report, long atNanoseconds) {}
 
-    ObservedRouter(Router router, long delayNanoseconds, LongAdder attempts) {
+    InstrumentedRouter(Router router, long delayNanoseconds, LongAdder attempts) {
         this.router = router;
         this.delayNanoseconds = delayNanoseconds;
         this.attempts = attempts;
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/Policy.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/Policy.java
@@ -30,7 +30,7 @@
      *
      * @throws IllegalArgumentException when there is none
      */
-    static Policy named(String label) {
+    static Policy fromLabel(String label) {
         for (Policy policy : values()) {
             if (policy.label().equals(label)) {
                 return policy;
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/PolicyResult.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/PolicyResult.java
@@ -19,8 +19,8 @@
 record PolicyResult(
         String scenario,
         Policy policy,
-        Tally tally,
-        Tally inTime,
+        CallStatistics tally,
+        CallStatistics inTime,
         SiteCounters counters,
         double seconds,
         int nodes,
@@ -61,7 +61,7 @@
     }
 
     /** Returns retries and hedges. */
-    long furtherAttempts() {
+    long retriesAndHedges() {
         return Math.max(0, counters.attempts() - tally.sent());
     }
 
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/PolicyRun.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/PolicyRun.java
@@ -58,8 +58,8 @@
         return new PolicyResult(
                 scenario.name(),
                 policy,
-                new Tally(records),
-                new Tally(inTime),
+                new CallStatistics(records),
+                new CallStatistics(inTime),
                 counters,
                 seconds,
                 scenario.upstreams(),
@@ -73,14 +73,14 @@
             throws InterruptedException {
         Schedule schedule =
                 new Schedule(
-                        ExperimentService.requests(scenario.bookingShare()),
+                        ExperimentService.requestKinds(scenario.bookingShare()),
                         new Random(seed + stage.hashCode()),
                         stage + "-" + seed,
                         Shares.ROUTED_ONCE);
         List<PlannedCall> calls = schedule.plan(scenario.requestsPerSecond(), length);
         long end = System.nanoTime() + (long) (length * TimeUnit.SECONDS.toNanos(1));
         Consumer<CallRecord> watcher = line -> addInTime(line, end, inTime);
-        return new LoadRun(site.entries(), site.upstreamUrls(), watcher).run(calls);
+        return new LoadRun(site.entryUrls(), site.upstreamUrls(), watcher).run(calls);
     }
 
     private static void addInTime(CallRecord line, long endNanoseconds, List<CallRecord> inTime) {
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/ResultTable.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/ResultTable.java
@@ -9,7 +9,7 @@
     private ResultTable() {}
 
     /** Returns the table of one scenario. */
-    static String text(List<PolicyResult> results) {
+    static String formatTable(List<PolicyResult> results) {
         StringBuilder text = new StringBuilder();
         text.append(
                 String.format(
@@ -37,7 +37,8 @@
 
     private static String reasons(PolicyResult result) {
         return String.format(
-                "without_answer policy=%s %s%n", result.policy().label(), result.tally().reasons());
+                "without_answer policy=%s %s%n",
+                result.policy().label(), result.tally().failuresByReason());
     }
 
     private static String row(PolicyResult result) {
@@ -57,13 +58,13 @@
                 result.tally().failed(),
                 result.tally().unknown(),
                 result.goodput(),
-                result.furtherAttempts(),
+                result.retriesAndHedges(),
                 result.measuringBytesPerSecond(),
                 result.loadAverage());
     }
 
     /** Returns the two users' views of each result: their own measures, the weightiest first. */
-    static String views(List<PolicyResult> results) {
+    static String formatUserViews(List<PolicyResult> results) {
         StringBuilder text = new StringBuilder();
         for (PolicyResult result : results) {
             text.append(
@@ -93,7 +94,7 @@
     }
 
     /** Returns one JSON object of all figures. */
-    static String json(PolicyResult result) {
+    static String toJson(PolicyResult result) {
         return new JsonObject()
                 .with("scenario", result.scenario())
                 .with("policy", result.policy().label())
@@ -110,7 +111,7 @@
                 .with("unknown", result.tally().unknown())
                 .with("goodput", result.goodput())
                 .with("weighted_answers_per_second", result.weightedAnswersPerSecond())
-                .with("further_attempts", result.furtherAttempts())
+                .with("further_attempts", result.retriesAndHedges())
                 .with("measuring_bytes_per_second_per_node", result.measuringBytesPerSecond())
                 .with("paid_link_bytes_per_second", result.paidLinkBytesPerSecond())
                 .with("load_average", result.loadAverage())
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/ScenarioFile.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/ScenarioFile.java
@@ -37,7 +37,7 @@
         FieldReader file = new FieldReader(JsonObject.parse(text), "", faults);
         List<Scenario> scenarios =
                 file.objects("scenarios").stream().map(ScenarioFile::scenario).toList();
-        file.rejectOthers();
+        file.rejectUnknownFields();
         if (!faults.isEmpty()) {
             throw new IllegalArgumentException(
                     "The scenario file can't be used; correct these fields: "
@@ -57,14 +57,14 @@
                         fields.number("service_milliseconds", 1, MOST_MILLISECONDS),
                         fields.number("booking_share", 0, 1, 0),
                         List.of(entryRegion(fields, sites)),
-                        fields.object("links").whole(),
+                        fields.object("links").rawObject(),
                         fields.has("fault") ? fault(fields.object("fault")) : NO_FAULT,
                         (long) fields.number("report_delay_milliseconds", 0, MOST_MILLISECONDS, 0),
                         bounds(fields.object("bounds")));
         if (scenario.fault().upstreams() > scenario.upstreams()) {
-            fields.fault("fault.upstreams", "must be at most the upstreams of all sites");
+            fields.addProblem("fault.upstreams", "must be at most the upstreams of all sites");
         }
-        fields.rejectOthers();
+        fields.rejectUnknownFields();
         return scenario;
     }
 
@@ -73,7 +73,7 @@
         String first = sites.isEmpty() ? "" : sites.get(0).region();
         String region = fields.has("entry_region") ? fields.text("entry_region") : first;
         if (sites.stream().noneMatch(site -> site.region().equals(region))) {
-            fields.fault("entry_region", "must be the region of a site");
+            fields.addProblem("entry_region", "must be the region of a site");
         }
         return region;
     }
@@ -84,19 +84,19 @@
                         fields.text("data_centre"),
                         fields.text("region"),
                         (int) fields.number("upstreams", 1, MOST_UPSTREAMS));
-        fields.rejectOthers();
+        fields.rejectUnknownFields();
         return site;
     }
 
     private static Fault fault(FieldReader fields) {
         Fault fault =
                 new Fault(
-                        fields.constant("kind", FaultKind.class),
+                        fields.enumConstant("kind", FaultKind.class),
                         (int) fields.number("upstreams", 1, MOST_UPSTREAMS, 1),
                         fields.number("factor", 1, MOST_FACTOR, 1),
                         (long) fields.number("spell_milliseconds", 1, MOST_MILLISECONDS, 1),
                         (long) fields.number("pause_milliseconds", 1, MOST_MILLISECONDS, 1));
-        fields.rejectOthers();
+        fields.rejectUnknownFields();
         return fault;
     }
 
@@ -108,7 +108,7 @@
                 bounds.add(new Bound(measure, fields.number(name, 0, MOST_FACTOR)));
             }
         }
-        fields.rejectOthers();
+        fields.rejectUnknownFields();
         return bounds;
     }
 }
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/Verdict.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/Verdict.java
@@ -71,7 +71,7 @@
     }
 
     /** Returns met, missed, or not-measured. */
-    String word() {
+    String status() {
         if (Double.isNaN(measured)) {
             return "not-measured";
         }
@@ -80,7 +80,7 @@
     }
 
     /** Returns one line of key=value pairs. */
-    String line() {
+    String toLine() {
         return String.format(
                 Locale.ROOT,
                 "scenario=%s bound=%s measured=%.3f %s=%.3f verdict=%s",
@@ -89,6 +89,6 @@
                 measured,
                 atMost ? "at_most" : "at_least",
                 bound,
-                word());
+                status());
     }
 }
--- a/bench/src/main/java/org/damaskmoor/bench/micro/AdmissionBenchmark.java
+++ b/bench/src/main/java/org/damaskmoor/bench/micro/AdmissionBenchmark.java
@@ -67,7 +67,7 @@
 
     /** One offered, one ended, one handed over. */
     @Benchmark
-    public DequeuedRequests turn() {
+    public DequeuedRequests offerFinishDequeue() {
         now += STEP_NANOSECONDS;
         controller.offer(request(), now);
         controller.onFinished(running, LATENCY_NANOSECONDS, AdmissionOutcome.ANSWERED, now);
--- a/bench/src/main/java/org/damaskmoor/bench/micro/ChoiceBenchmark.java
+++ b/bench/src/main/java/org/damaskmoor/bench/micro/ChoiceBenchmark.java
@@ -88,7 +88,7 @@
 
     /** Choice, send and answer. */
     @Benchmark
-    public Optional<Choice> turn() {
+    public Optional<Choice> chooseSendAnswer() {
         now += STEP_NANOSECONDS;
         Optional<Choice> choice = router.choose(request, Set.of(), now);
         TargetId target = choice.orElseThrow().target().id();
--- a/bench/src/main/java/org/damaskmoor/bench/slope/MembershipSlope.java
+++ b/bench/src/main/java/org/damaskmoor/bench/simulation/MembershipSimulation.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.bench.slope;
+package org.damaskmoor.bench.simulation;
 
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
@@ -17,7 +17,7 @@
  * Drives the membership state machines of one group with virtual time and measures what each costs.
  * Not thread-safe.
  */
-public final class MembershipSlope {
+public final class MembershipSimulation {
     private static final long TICK = MembershipProtocol.TICK_MILLISECONDS;
     private static final long SETTLING_MILLISECONDS = 20_000;
     private static final long LONGEST_SPREAD_MILLISECONDS = 60_000;
@@ -35,17 +35,17 @@
     private final int size;
     private final Random random;
     private final VirtualNetwork network = new VirtualNetwork();
-    private final List<SlopeMember> members = new ArrayList<>();
+    private final List<SimulatedMember> members = new ArrayList<>();
     private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
     private long now = 1_000_000;
     private long configurationVersion = 1;
 
-    public MembershipSlope(int size, long seed) {
+    public MembershipSimulation(int size, long seed) {
         this.size = size;
         this.random = new Random(seed);
     }
 
-    public SlopeResult run(long measuredMilliseconds) {
+    public SimulationResult run(long measuredMilliseconds) {
         double heapBytesPerMember = fill();
         advance(SETTLING_MILLISECONDS, false);
         VirtualNetwork.Totals before = network.totals();
@@ -57,7 +57,7 @@
         advance(measuredMilliseconds, true);
         VirtualNetwork.Totals churned = network.totals().minus(before);
         advance(SETTLING_MILLISECONDS, false);
-        return new SlopeResult(
+        return new SimulationResult(
                 size,
                 measuredMilliseconds,
                 quiet,
@@ -70,12 +70,12 @@
     }
 
     /** Stops all members of one data centre at once. */
-    private SlopeResult.Failure failDataCentre() {
+    private SimulationResult.Failure failDataCentre() {
         String dataCentre = members.get(2).dataCentre();
         members.stream()
                 .filter(member -> member.dataCentre().equals(dataCentre))
-                .forEach(SlopeMember::fail);
-        List<SlopeMember> left = members.stream().filter(each -> !each.hasFailed()).toList();
+                .forEach(SimulatedMember::fail);
+        List<SimulatedMember> left = members.stream().filter(each -> !each.hasFailed()).toList();
         int failed = size - left.size();
         VirtualNetwork.Totals before = network.totals();
         long start = now;
@@ -87,9 +87,9 @@
         long milliseconds = now - start;
         VirtualNetwork.Totals traffic = network.totals().minus(before);
         advance(SETTLING_MILLISECONDS, false);
-        long mostDead = left.stream().mapToLong(SlopeMember::deadMembers).max().orElse(0);
+        long mostDead = left.stream().mapToLong(SimulatedMember::deadMembers).max().orElse(0);
         double bytesPerSecond = traffic.bytes() * 1_000.0 / milliseconds / left.size();
-        return new SlopeResult.Failure(
+        return new SimulationResult.Failure(
                 failed, known ? milliseconds : -1, bytesPerSecond, mostDead - failed);
     }
 
@@ -98,10 +98,10 @@
         List<GossipMessage> pages = pages();
         long heapBefore = usedHeap();
         for (int i = 0; i < size; i++) {
-            SlopeMember member = new SlopeMember(i, network, random, now);
+            SimulatedMember member = new SimulatedMember(i, network, random, now);
             network.add(member);
             member.join(List.of(), now);
-            pages.forEach(page -> member.learn(page, member.address(), now));
+            pages.forEach(page -> member.receivePage(page, member.address(), now));
             members.add(member);
         }
         double known = (double) size * size;
@@ -121,7 +121,7 @@
     }
 
     private static MemberRecord aliveRecordOf(int number) {
-        return SlopeMember.recordOf(number).toBuilder().setStateValue(1).build();
+        return SimulatedMember.recordOf(number).toBuilder().setStateValue(1).build();
     }
 
     /** The members here share their records; a process of its own holds each one. */
@@ -157,7 +157,7 @@
     private void step() {
         now += TICK;
         network.deliver(now);
-        for (SlopeMember member : members) {
+        for (SimulatedMember member : members) {
             member.tick(now);
         }
     }
@@ -166,11 +166,11 @@
     private void churn() {
         double share = (double) size / FLEET * TICK / DAY_MILLISECONDS;
         if (random.nextDouble() < share * MEMBER_CHANGES_PER_DAY) {
-            SlopeMember member = members.get(random.nextInt(size));
-            member.change(1 + random.nextInt(1_000), now);
+            SimulatedMember member = members.get(random.nextInt(size));
+            member.announceCapacity(1 + random.nextInt(1_000), now);
         }
         if (random.nextDouble() < share * CONFIGURATION_CHANGES_PER_DAY) {
-            members.get(random.nextInt(size)).spread(nextVersion());
+            members.get(random.nextInt(size)).broadcastConfiguration(nextVersion());
         }
     }
 
@@ -183,8 +183,8 @@
 
     private long spreadConfiguration() {
         ConfigurationVersion version = nextVersion();
-        members.get(0).spread(version);
-        return untilAll(member -> member.knows(version));
+        members.get(0).broadcastConfiguration(version);
+        return untilAll(member -> member.hasConfiguration(version));
     }
 
     private long spreadLeave() {
@@ -193,7 +193,7 @@
         return untilAll(member -> member.knowsLeaving(leaving));
     }
 
-    private long untilAll(Predicate<SlopeMember> knows) {
+    private long untilAll(Predicate<SimulatedMember> knows) {
         long start = now;
         while (now - start < LONGEST_SPREAD_MILLISECONDS) {
             if (members.stream().allMatch(knows)) {
--- a/bench/src/main/java/org/damaskmoor/bench/slope/SlopeMember.java
+++ b/bench/src/main/java/org/damaskmoor/bench/simulation/SimulatedMember.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.bench.slope;
+package org.damaskmoor.bench.simulation;
 
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -18,7 +18,7 @@
 import org.damaskmoor.schema.mesh.UpstreamState;
 
 /** One node's membership protocol on the virtual network. Not thread-safe. */
-final class SlopeMember implements GossipExtension {
+final class SimulatedMember implements GossipExtension {
     private static final int FIRST_PORT = 10_000;
     private static final int SERVICES = 340;
     private static final int DATA_CENTRES = 15;
@@ -29,7 +29,8 @@
     private final Map<String, Long> versions = new HashMap<>();
     private boolean failed;
 
-    SlopeMember(int number, VirtualNetwork network, RandomGenerator random, long nowMilliseconds) {
+    SimulatedMember(
+            int number, VirtualNetwork network, RandomGenerator random, long nowMilliseconds) {
         this.number = number;
         this.protocol =
                 new MembershipProtocol(
@@ -78,7 +79,7 @@
     }
 
     /** Takes in members as a finished join does, so that large groups need not join one by one. */
-    void learn(GossipMessage page, InetSocketAddress from, long nowMilliseconds) {
+    void receivePage(GossipMessage page, InetSocketAddress from, long nowMilliseconds) {
         protocol.receive(page, from, nowMilliseconds);
     }
 
@@ -118,7 +119,7 @@
         protocol.announceUpstream(UpstreamState.LEAVING, 10, nowMilliseconds);
     }
 
-    void spread(ConfigurationVersion version) {
+    void broadcastConfiguration(ConfigurationVersion version) {
         versions.put(version.getService(), version.getVersion());
         protocol.broadcast(version);
     }
@@ -129,12 +130,12 @@
                 .orElse(false);
     }
 
-    boolean knows(ConfigurationVersion version) {
+    boolean hasConfiguration(ConfigurationVersion version) {
         return versions.getOrDefault(version.getService(), 0L) >= version.getVersion();
     }
 
     /** Changes the own record, as a start, a stop or another load does. */
-    void change(int capacity, long nowMilliseconds) {
+    void announceCapacity(int capacity, long nowMilliseconds) {
         protocol.announceUpstream(UpstreamState.SERVING, capacity, nowMilliseconds);
     }
 
@@ -145,7 +146,7 @@
 
     @Override
     public boolean onConfigurationVersion(NodeId from, ConfigurationVersion version) {
-        boolean news = !knows(version);
+        boolean news = !hasConfiguration(version);
         if (news) {
             versions.put(version.getService(), version.getVersion());
         }
--- a/bench/src/main/java/org/damaskmoor/bench/slope/SlopeResult.java
+++ b/bench/src/main/java/org/damaskmoor/bench/simulation/SimulationResult.java
@@ -1,7 +1,7 @@
-package org.damaskmoor.bench.slope;
+package org.damaskmoor.bench.simulation;
 
 import java.util.Locale;
-import org.damaskmoor.bench.slope.VirtualNetwork.Totals;
+import org.damaskmoor.bench.simulation.VirtualNetwork.Totals;
 
 /**
  * What one size of group cost. Immutable and thread-safe.
@@ -16,7 +16,7 @@
  * @param leaveMilliseconds until every member knew of a leaving upstream; -1: not in time
  * @param failure what the failure of a whole data centre came to
  */
-public record SlopeResult(
+public record SimulationResult(
         int size,
         long measuredMilliseconds,
         Totals quiet,
@@ -37,7 +37,7 @@
     record Failure(int members, long milliseconds, double bytesPerSecond, long falselyDead) {}
 
     /** One line of key=value pairs. */
-    public String line() {
+    public String toLine() {
         double nodeSeconds = size * measuredMilliseconds / 1_000.0;
         return String.format(
                 Locale.ROOT,
--- a/bench/src/main/java/org/damaskmoor/bench/slope/VirtualNetwork.java
+++ b/bench/src/main/java/org/damaskmoor/bench/simulation/VirtualNetwork.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.bench.slope;
+package org.damaskmoor.bench.simulation;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
@@ -16,24 +16,24 @@
     /** What the headers of IP and UDP add to each datagram. */
     private static final int HEADER_BYTES = 28;
 
-    private final Map<Integer, SlopeMember> byPort = new HashMap<>();
+    private final Map<Integer, SimulatedMember> byPort = new HashMap<>();
     private ArrayDeque<Datagram> underWay = new ArrayDeque<>();
     private long datagrams;
     private long bytes;
     private long paidBytes;
 
-    private record Datagram(SlopeMember from, InetSocketAddress to, GossipMessage message) {}
+    private record Datagram(SimulatedMember from, InetSocketAddress to, GossipMessage message) {}
 
-    void add(SlopeMember member) {
+    void add(SimulatedMember member) {
         byPort.put(member.port(), member);
     }
 
-    void send(SlopeMember from, InetSocketAddress to, GossipMessage message) {
+    void send(SimulatedMember from, InetSocketAddress to, GossipMessage message) {
         underWay.add(new Datagram(from, to, message));
         int size = message.getSerializedSize() + HEADER_BYTES;
         datagrams++;
         bytes += size;
-        SlopeMember receiver = byPort.get(to.getPort());
+        SimulatedMember receiver = byPort.get(to.getPort());
         if (receiver != null && !receiver.region().equals(from.region())) {
             paidBytes += size;
         }
@@ -43,7 +43,7 @@
         ArrayDeque<Datagram> arriving = underWay;
         underWay = new ArrayDeque<>();
         for (Datagram datagram : arriving) {
-            SlopeMember receiver = byPort.get(datagram.to.getPort());
+            SimulatedMember receiver = byPort.get(datagram.to.getPort());
             if (receiver != null) {
                 receiver.receive(datagram.message, datagram.from.address(), nowMilliseconds);
             }
--- a/bench/src/test/java/org/damaskmoor/bench/experiment/VerdictTest.java
+++ b/bench/src/test/java/org/damaskmoor/bench/experiment/VerdictTest.java
@@ -33,7 +33,7 @@
                         List.of(product, baseline));
 
         // then
-        assertThat(verdicts.stream().map(Verdict::word))
+        assertThat(verdicts.stream().map(Verdict::status))
                 .containsExactly("met", "missed", "missed", "met")
                 .inOrder();
     }
@@ -48,7 +48,7 @@
                 Verdict.of(scenario(new Bound(Measure.P99_OF_TWO_CHOICES, 0.5)), List.of(product));
 
         // then
-        assertThat(verdicts.get(0).word()).isEqualTo("not-measured");
+        assertThat(verdicts.get(0).status()).isEqualTo("not-measured");
     }
 
     @Test
@@ -57,13 +57,13 @@
         CallRecord error = call(false, Outcome.ANSWERED, "status-500", 1);
 
         // when
-        Tally tally = new Tally(List.of(error));
+        CallStatistics tally = new CallStatistics(List.of(error));
 
         // then
         assertThat(tally.answered()).isEqualTo(0);
         assertThat(tally.failed()).isEqualTo(1);
         assertThat(tally.latencies().getMaxValue())
-                .isAtLeast(TimeUnit.MILLISECONDS.toNanos(Tally.FAILURE_MILLISECONDS));
+                .isAtLeast(TimeUnit.MILLISECONDS.toNanos(CallStatistics.FAILURE_MILLISECONDS));
     }
 
     @Test
@@ -75,7 +75,7 @@
         records.addAll(Collections.nCopies(125, call(false, Outcome.REFUSED, "overloaded", 1)));
 
         // when
-        Tally tally = new Tally(records);
+        CallStatistics tally = new CallStatistics(records);
 
         // then
         double best = 50 * 3 + 50;
@@ -102,8 +102,8 @@
         return new PolicyResult(
                 "test",
                 policy,
-                new Tally(records),
-                new Tally(List.of()),
+                new CallStatistics(records),
+                new CallStatistics(List.of()),
                 counters,
                 SECONDS,
                 1,
--- a/bench/src/test/java/org/damaskmoor/bench/failure/BookingFailureTest.java
+++ b/bench/src/test/java/org/damaskmoor/bench/failure/BookingFailureTest.java
@@ -17,13 +17,13 @@
 class BookingFailureTest {
     private static final int SLOW = 200;
 
-    private static FailureSite site;
+    private static FailureTestSite site;
     private static Place entry;
     private static Place target;
 
     @BeforeAll
     static void start() throws Exception {
-        site = new FailureSite();
+        site = new FailureTestSite();
         entry = site.place("register-1");
         target = site.place("besuch-2");
     }
@@ -37,21 +37,21 @@
     void should_answer_unknown_when_the_target_is_killed_during_the_run() throws Exception {
         // given
         String nonce = site.nonceFor(target);
-        site.upstreamFaults(target, new JsonObject().with("service_time_factor", SLOW));
+        site.setUpstreamFaults(target, new JsonObject().with("service_time_factor", SLOW));
         CompletableFuture<CallRecord> booking =
                 CompletableFuture.supplyAsync(() -> site.book(entry, nonce));
-        FailureSite.await("it runs", () -> site.runsAt(target, nonce) == 1);
+        FailureTestSite.await("it runs", () -> site.runsAt(target, nonce) == 1);
 
         // when
         site.killNode(target);
 
         // then
         assertThat(booking.get(1, TimeUnit.MINUTES).outcome()).isEqualTo(Outcome.UNKNOWN);
-        site.upstreamFaults(target, new JsonObject().with("service_time_factor", 1.0 / SLOW));
+        site.setUpstreamFaults(target, new JsonObject().with("service_time_factor", 1.0 / SLOW));
         site.site.startNode(target);
         site.awaitServing(target);
         site.book(entry, nonce);
-        assertThat(site.runs(nonce)).isEqualTo(1);
+        assertThat(site.totalRuns(nonce)).isEqualTo(1);
     }
 
     @Test
@@ -67,7 +67,7 @@
         site.book(entry, nonce);
 
         // then
-        assertThat(site.runs(nonce)).isEqualTo(1);
+        assertThat(site.totalRuns(nonce)).isEqualTo(1);
     }
 
     @Test
@@ -77,7 +77,7 @@
         String nonce = site.nonceFor(target);
         site.children.freeze(target.nodeId());
         CallRecord first = site.book(entry, nonce);
-        FailureSite.await(
+        FailureTestSite.await(
                 "a resend is answered",
                 () -> site.book(entry, nonce).outcome() == Outcome.ANSWERED);
 
@@ -87,7 +87,7 @@
 
         // then
         assertThat(first.outcome()).isEqualTo(Outcome.UNKNOWN);
-        assertThat(site.runs(nonce)).isEqualTo(1);
+        assertThat(site.totalRuns(nonce)).isEqualTo(1);
         assertThat(site.runsAt(target, nonce)).isEqualTo(0);
     }
 
@@ -95,19 +95,19 @@
     void should_answer_every_booking_when_open_connections_go_silent() throws Exception {
         // given
         site.awaitServing(target);
-        long lost = site.logged(entry, "event=link-lost");
+        long lost = site.countLogLines(entry, "event=link-lost");
 
         // when
         site.links.silence("bern-nord/bern-sued");
 
         // then
-        FailureSite.await(
+        FailureTestSite.await(
                 "the entry node gave the silent connection up",
                 () -> {
                     String nonce = site.nonceFor(target);
                     assertThat(site.book(entry, nonce).outcome()).isEqualTo(Outcome.ANSWERED);
-                    assertThat(site.runs(nonce)).isEqualTo(1);
-                    return site.logged(entry, "event=link-lost") > lost;
+                    assertThat(site.totalRuns(nonce)).isEqualTo(1);
+                    return site.countLogLines(entry, "event=link-lost") > lost;
                 });
     }
 }
--- a/bench/src/test/java/org/damaskmoor/bench/failure/ConfigurationFailureTest.java
+++ b/bench/src/test/java/org/damaskmoor/bench/failure/ConfigurationFailureTest.java
@@ -22,14 +22,14 @@
 class ConfigurationFailureTest {
     private static final String SERVICE = "register";
 
-    private static FailureSite site;
+    private static FailureTestSite site;
     private static Place north;
     private static Place south;
     private static Place far;
 
     @BeforeAll
     static void start() throws Exception {
-        site = new FailureSite();
+        site = new FailureTestSite();
         north = site.place("besuch-1");
         south = site.place("besuch-2");
         far = site.place("besuch-3");
@@ -42,7 +42,7 @@
 
     @AfterEach
     void heal() throws Exception {
-        site.platform("none");
+        site.setPlatformMode("none");
     }
 
     /** Applies a configuration that differs from all others by the operation's id. */
@@ -98,7 +98,7 @@
     void should_refuse_changes_and_serve_on_when_the_platform_is_down() throws Exception {
         // given
         long version = site.versionAt(north, SERVICE);
-        site.platform("down");
+        site.setPlatformMode("down");
 
         // when
         OperatorException refused =
@@ -111,19 +111,19 @@
         assertThat(refused.exitCode()).isEqualTo(ExitCode.NOT_ACCEPTED);
         assertThat(site.versionAt(south, SERVICE)).isEqualTo(version);
         assertThat(site.lookUp(north).outcome()).isEqualTo(Outcome.ANSWERED);
-        FailureSite.await(
+        FailureTestSite.await(
                 "the fresh node takes callers",
                 () -> site.lookUp(south).outcome() == Outcome.ANSWERED);
         String nonce = site.nonceFor(north);
         assertThat(site.book(north, nonce).outcome()).isEqualTo(Outcome.REFUSED);
-        assertThat(site.runs(nonce)).isEqualTo(0);
+        assertThat(site.totalRuns(nonce)).isEqualTo(0);
     }
 
     @Test
     void should_accept_a_change_when_the_answer_to_its_write_is_lost() throws Exception {
         // given
         long version = site.versionAt(north, SERVICE);
-        site.platform("lose-answers");
+        site.setPlatformMode("lose-answers");
 
         // when
         long accepted = apply(north, version, "lost-answer");
@@ -139,11 +139,11 @@
             throws Exception {
         // given
         long version = site.versionAt(north, SERVICE);
-        long unreachable = site.logged(north, "event=member-region-unreachable");
+        long unreachable = site.countLogLines(north, "event=member-region-unreachable");
         site.links.cut("mittelland/oberland");
-        FailureSite.await(
+        FailureTestSite.await(
                 "the cut is noticed",
-                () -> site.logged(north, "event=member-region-unreachable") > unreachable);
+                () -> site.countLogLines(north, "event=member-region-unreachable") > unreachable);
 
         // when
         Outcome lookUpNorth = site.lookUp(north).outcome();
--- a/bench/src/test/java/org/damaskmoor/bench/failure/FailureSite.java
+++ b/bench/src/test/java/org/damaskmoor/bench/failure/FailureTestSite.java
@@ -34,7 +34,7 @@
  * <p>A test waits for states, with limits that are far from what it needs. Used by one thread, but
  * for {@link #book} and {@link #lookUp}.
  */
-final class FailureSite implements AutoCloseable {
+final class FailureTestSite implements AutoCloseable {
     private static final long LIMIT_MILLISECONDS = 40_000;
     private static final long POLL_MILLISECONDS = 50;
     private static final Duration CONTROL_TIMEOUT = Duration.ofSeconds(3);
@@ -46,12 +46,12 @@
     private final BlockingClient client = new BlockingClient(CONTROL_TIMEOUT);
     private int nonces;
 
-    FailureSite() throws Exception {
+    FailureTestSite() throws Exception {
         directory = Files.createTempDirectory("damaskmoor-failure-");
         children = new ChildProcesses(directory);
         Deployment deployment =
                 Deployment.read(
-                        Path.of(FailureSite.class.getResource("/failure-site.json").toURI()));
+                        Path.of(FailureTestSite.class.getResource("/failure-site.json").toURI()));
         int firstPort = PortBlocks.firstFree(Places.ports(deployment));
         site = new Site(deployment, firstPort, directory, children, client);
         site.startStandIns();
@@ -65,7 +65,7 @@
         for (Deployment.Service service : deployment.services()) {
             applier.apply(service.configuration());
         }
-        for (Place place : besuch()) {
+        for (Place place : besuchPlaces()) {
             awaitServing(place);
         }
     }
@@ -77,7 +77,7 @@
                 .orElseThrow();
     }
 
-    List<Place> besuch() {
+    List<Place> besuchPlaces() {
         return List.of(place("besuch-1"), place("besuch-2"), place("besuch-3"));
     }
 
@@ -131,7 +131,7 @@
     }
 
     /** How often the booking ran, by the ledgers of all upstreams. */
-    int runs(String nonce) throws IOException {
+    int totalRuns(String nonce) throws IOException {
         int runs = 0;
         for (Place place : site.places()) {
             runs += runsAt(place, nonce);
@@ -151,11 +151,11 @@
                         .count();
     }
 
-    void upstreamFaults(Place place, JsonObject faults) throws IOException {
+    void setUpstreamFaults(Place place, JsonObject faults) throws IOException {
         client.post(place.upstreamUrl() + "/stand-in/faults", faults.toString());
     }
 
-    void platform(String mode) throws IOException {
+    void setPlatformMode(String mode) throws IOException {
         client.post(
                 site.platformUrl() + "/stand-in/faults",
                 new JsonObject().with("mode", mode).toString());
@@ -173,7 +173,7 @@
     }
 
     /** How many lines of a node's log hold the text. */
-    long logged(Place place, String text) throws IOException {
+    long countLogLines(Place place, String text) throws IOException {
         try (Stream<String> lines = Files.lines(directory.resolve(place.nodeId() + ".log"))) {
             return lines.filter(line -> line.contains(text)).count();
         }
