--- a/bench/src/main/java/org/damaskmoor/bench/experiment/AddedLatencyCommand.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/AddedLatencyCommand.java
@@ -22,18 +22,19 @@
 import org.damaskmoor.bench.verification.Latencies;
 
 /**
- * Measures what the way over an entry node and a target node adds to a call: half of the calls go
- * straight to the upstream, half over both nodes, mixed at random in one schedule.
+ * Measures the latency that an entry node and a target node add to a call. Half of the calls go
+ * directly to the upstream and half through both nodes, mixed at random in one schedule.
  *
- * <p>Used by one thread. Exit code 0 when the bound was met, 1 when not.
+ * <p>Confined to one thread. Exit code 0 when the added 99th percentile is within the bound, 1
+ * otherwise.
  */
-@Command(name = "added-latency", description = "What two nodes add to a call")
+@Command(name = "added-latency", description = "Measures the latency that two nodes add to a call")
 public final class AddedLatencyCommand implements Callable<Integer> {
-    private static final Logger NODE_LOG = Logger.getLogger("org.damaskmoor");
-    private static final double BOUND_MILLISECONDS = 0.3;
+    private static final Logger NODE_LOGGER = Logger.getLogger("org.damaskmoor");
+    private static final double MAX_ADDED_MILLISECONDS = 0.3;
     private static final double DIRECT_SHARE = 0.5;
     private static final double WARM_UP_SECONDS = 8;
-    private static final long SETTLE_MILLISECONDS = 1500;
+    private static final long SETTLING_MILLISECONDS = 1500;
     private static final int SLOTS = 100;
     private static final Scenario SCENARIO =
             new Scenario(
@@ -49,27 +50,27 @@
                     0,
                     List.of());
 
-    @Option(name = "--rate", description = "Calls a second, direct and routed together")
+    @Option(name = "--rate", description = "Calls per second, direct and routed together")
     private double rate = 500;
 
-    @Option(name = "--seconds", description = "Length of the measured load")
+    @Option(name = "--seconds", description = "Duration of the measured load")
     private double seconds = 10;
 
-    @Option(name = "--seed", description = "Seed of the load")
+    @Option(name = "--seed", description = "Random seed of the load")
     private long seed = 1;
 
     @Override
     public Integer call() throws Exception {
-        NODE_LOG.setLevel(Level.SEVERE);
+        NODE_LOGGER.setLevel(Level.SEVERE);
         try (ExperimentSite site = new ExperimentSite(SCENARIO, seed)) {
             site.start(Policy.PRODUCT, 1);
-            Thread.sleep(SETTLE_MILLISECONDS);
+            Thread.sleep(SETTLING_MILLISECONDS);
             load(site, "warm", WARM_UP_SECONDS);
             return report(load(site, "load", seconds));
         }
     }
 
-    private List<CallRecord> load(ExperimentSite site, String stage, double length)
+    private List<CallRecord> load(ExperimentSite site, String stage, double durationSeconds)
             throws IOException, InterruptedException {
         Schedule schedule =
                 new Schedule(
@@ -80,22 +81,22 @@
         List<URI> entries = site.entryUrls();
         URI entryWithoutUpstream = entries.get(entries.size() - 1);
         URI upstream = site.upstreamUrls().get(0);
-        return new LoadRun(List.of(entryWithoutUpstream), List.of(upstream), line -> {})
-                .run(schedule.plan(rate, length));
+        return new LoadRun(List.of(entryWithoutUpstream), List.of(upstream), call -> {})
+                .run(schedule.plan(rate, durationSeconds));
     }
 
     private int report(List<CallRecord> records) {
         Latencies direct = new Latencies(records, CallRecord::direct);
-        Latencies routed = new Latencies(records, line -> !line.direct());
-        CallStatistics tally = new CallStatistics(records);
+        Latencies routed = new Latencies(records, call -> !call.direct());
+        CallStatistics statistics = new CallStatistics(records);
         double added = routed.milliseconds(99) - direct.milliseconds(99);
         System.out.printf(
                 Locale.ROOT,
                 "calls=%d answered=%d rate=%.0f direct_p50_ms=%.3f direct_p99_ms=%.3f"
                         + " routed_p50_ms=%.3f routed_p99_ms=%.3f added_p50_ms=%.3f"
                         + " added_p99_ms=%.3f at_most=%.3f verdict=%s load_average=%.1f%n",
-                tally.sent(),
-                tally.answered(),
+                statistics.sent(),
+                statistics.answered(),
                 rate,
                 direct.milliseconds(50),
                 direct.milliseconds(99),
@@ -103,9 +104,9 @@
                 routed.milliseconds(99),
                 routed.milliseconds(50) - direct.milliseconds(50),
                 added,
-                BOUND_MILLISECONDS,
-                added <= BOUND_MILLISECONDS ? "met" : "missed",
+                MAX_ADDED_MILLISECONDS,
+                added <= MAX_ADDED_MILLISECONDS ? "met" : "missed",
                 ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage());
-        return added <= BOUND_MILLISECONDS ? 0 : 1;
+        return added <= MAX_ADDED_MILLISECONDS ? 0 : 1;
     }
 }
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/CallStatistics.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/CallStatistics.java
@@ -9,23 +9,23 @@
 import org.damaskmoor.bench.load.Outcome;
 
 /**
- * What callers experienced in one run.
+ * Outcomes and latencies of the calls of one run.
  *
- * <p>Invariant: a request that was refused, failed or stayed unknown counts with {@link
- * #FAILURE_MILLISECONDS} in the latencies, so that a policy gains nothing by failing fast. Not
- * changed after construction; safe for all threads.
+ * <p>Invariant: a request that is refused, fails or has an unknown outcome counts with at least
+ * {@link #FAILURE_MILLISECONDS} in the latencies, so that a policy gains nothing by failing fast.
+ * Not changed after construction; thread-safe.
  */
 final class CallStatistics {
-    /** The latency that a request without a useful answer counts with. */
+    /** Minimum latency that a request without a successful answer counts with. */
     static final long FAILURE_MILLISECONDS = 1000;
 
     private static final int SIGNIFICANT_DIGITS = 3;
-    private static final String USEFUL = "status-200";
+    private static final String SUCCESS_REASON = "status-200";
 
     private final Histogram latencies = new Histogram(SIGNIFICANT_DIGITS);
     private final Histogram lookups = new Histogram(SIGNIFICANT_DIGITS);
     private final Histogram bookings = new Histogram(SIGNIFICANT_DIGITS);
-    private final Map<String, Long> reasons = new TreeMap<>();
+    private final Map<String, Long> failuresByReason = new TreeMap<>();
     private long lookupsSent;
     private long bookingsSent;
     private long lookupsAnswered;
@@ -38,31 +38,32 @@
         records.forEach(this::add);
     }
 
-    private void add(CallRecord line) {
-        boolean useful = line.outcome() == Outcome.ANSWERED && line.reason().equals(USEFUL);
+    private void add(CallRecord call) {
+        boolean successful =
+                call.outcome() == Outcome.ANSWERED && call.reason().equals(SUCCESS_REASON);
         long latency =
-                useful
-                        ? line.latencyNanoseconds()
+                successful
+                        ? call.latencyNanoseconds()
                         : Math.max(
-                                line.latencyNanoseconds(),
+                                call.latencyNanoseconds(),
                                 TimeUnit.MILLISECONDS.toNanos(FAILURE_MILLISECONDS));
         latencies.recordValue(latency);
-        if (line.nonIdempotent()) {
+        if (call.nonIdempotent()) {
             bookings.recordValue(latency);
             bookingsSent++;
-            bookingsAnswered += useful ? 1 : 0;
+            bookingsAnswered += successful ? 1 : 0;
         } else {
             lookups.recordValue(latency);
             lookupsSent++;
-            lookupsAnswered += useful ? 1 : 0;
+            lookupsAnswered += successful ? 1 : 0;
         }
-        if (!useful) {
-            reasons.merge(line.outcome() + ":" + line.reason(), 1L, Long::sum);
-            addUseless(line.outcome());
+        if (!successful) {
+            failuresByReason.merge(call.outcome() + ":" + call.reason(), 1L, Long::sum);
+            addFailure(call.outcome());
         }
     }
 
-    private void addUseless(Outcome outcome) {
+    private void addFailure(Outcome outcome) {
         switch (outcome) {
             case ANSWERED -> failed++;
             case REFUSED -> refused++;
@@ -90,9 +91,9 @@
         return lookupsAnswered + bookingsAnswered;
     }
 
-    /** Returns how often requests ended without a useful answer, by outcome and reason. */
+    /** Returns the number of requests without a successful answer, by outcome and reason. */
     Map<String, Long> failuresByReason() {
-        return reasons;
+        return failuresByReason;
     }
 
     long refused() {
@@ -107,25 +108,26 @@
         return unknown;
     }
 
-    /** Returns the useful answers, each counted by its weight. */
+    /** Returns the successful answers, each counted by its weight. */
     long weightedAnswers() {
         return lookupsAnswered * ExperimentService.LOOKUP_WEIGHT
                 + bookingsAnswered * ExperimentService.BOOKING_WEIGHT;
     }
 
     /**
-     * Returns the useful answers that came in time, weighted by importance, as a share of the best
-     * that upstreams with this capacity can do: the most important requests first, then the others.
+     * Returns the successful answers in time, weighted by importance, as a share of the maximum
+     * that upstreams of this capacity can reach by running the most important requests first.
      *
-     * @param inTime the part of this tally that ended while the load lasted
+     * @param capacityRequests how many requests the upstreams can run during the load
+     * @param inTime statistics of the calls that ended before the load did
      */
     double goodput(double capacityRequests, CallStatistics inTime) {
-        double bookingsPossible = Math.min((double) bookingsSent, capacityRequests);
-        double lookupsPossible =
-                Math.min((double) lookupsSent, capacityRequests - bookingsPossible);
-        double possible = importance(lookupsPossible, bookingsPossible);
-        double got = importance((double) inTime.lookupsAnswered, (double) inTime.bookingsAnswered);
-        return possible == 0 ? 0 : got / possible;
+        double maxBookings = Math.min((double) bookingsSent, capacityRequests);
+        double maxLookups = Math.min((double) lookupsSent, capacityRequests - maxBookings);
+        double maximum = importance(maxLookups, maxBookings);
+        double achieved =
+                importance((double) inTime.lookupsAnswered, (double) inTime.bookingsAnswered);
+        return maximum == 0 ? 0 : achieved / maximum;
     }
 
     private static double importance(double lookups, double bookingCount) {
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/ExperimentCommand.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/ExperimentCommand.java
@@ -14,40 +14,42 @@
 import java.util.logging.Logger;
 
 /**
- * Compares policies in the scenarios of a file. Used by one thread.
+ * Compares the product with baseline policies in each scenario of a file. Confined to one thread.
  *
- * <p>Exit code 0 when every bound was met, 1 when one was missed or could not be measured.
+ * <p>Exit code 0 when every bound is met, 1 when one is missed or can't be measured.
  */
-@Command(name = "experiment", description = "Compares policies with real nodes over loopback")
+@Command(
+        name = "experiment",
+        description = "Compares load balancing policies with real nodes over loopback")
 public final class ExperimentCommand implements Callable<Integer> {
-    private static final Logger NODE_LOG = Logger.getLogger("org.damaskmoor");
-    private static final double COMPILE_SECONDS = 5;
+    private static final Logger NODE_LOGGER = Logger.getLogger("org.damaskmoor");
+    private static final double COMPILER_WARM_UP_SECONDS = 5;
 
-    @Option(name = "--scenario-file", description = "File with the scenarios")
+    @Option(name = "--scenario-file", description = "Scenario file (JSON)")
     private String scenarioFile = "examples/experiments.json";
 
     @Option(name = "--scenario", description = "Runs this scenario only; may be repeated")
-    private List<String> names = new ArrayList<>();
+    private List<String> scenarioNames = new ArrayList<>();
 
     @Option(name = "--policy", description = "Runs this policy only; may be repeated")
-    private List<String> policies = new ArrayList<>();
+    private List<String> policyLabels = new ArrayList<>();
 
-    @Option(name = "--seconds", description = "Length of the measured load")
+    @Option(name = "--seconds", description = "Duration of the measured load")
     private double seconds = 10;
 
-    @Option(name = "--seed", description = "Seed of load and faults")
+    @Option(name = "--seed", description = "Random seed of load and faults")
     private long seed = 1;
 
-    @Option(name = "--output-directory", description = "Where results and plots are written")
+    @Option(name = "--output-directory", description = "Directory for results and plots")
     @Required
     private String outputDirectory;
 
     @Override
     public Integer call() throws Exception {
         System.setProperty("java.awt.headless", "true");
-        NODE_LOG.setLevel(Level.SEVERE);
-        List<Scenario> scenarios = chosenScenarios();
-        List<Policy> chosen = chosenPolicies();
+        NODE_LOGGER.setLevel(Level.SEVERE);
+        List<Scenario> scenarios = selectedScenarios();
+        List<Policy> selected = selectedPolicies();
         Path directory = Files.createDirectories(Path.of(outputDirectory));
         System.out.println(
                 "a request without a useful answer counts with "
@@ -56,42 +58,45 @@
                         + seed
                         + " seconds="
                         + seconds);
-        compile(scenarios.get(0));
-        boolean held = true;
+        warmUpCompiler(scenarios.get(0));
+        boolean allMet = true;
         for (Scenario scenario : scenarios) {
-            held &= run(scenario, chosen, directory);
+            allMet &= run(scenario, selected, directory);
         }
-        return held ? 0 : 1;
+        return allMet ? 0 : 1;
     }
 
-    private List<Scenario> chosenScenarios() throws IOException {
+    private List<Scenario> selectedScenarios() throws IOException {
         List<Scenario> all = ScenarioFile.parse(Files.readString(Path.of(scenarioFile)));
         List<String> known = all.stream().map(Scenario::name).toList();
-        for (String name : names) {
+        for (String name : scenarioNames) {
             if (!known.contains(name)) {
-                throw new IllegalArgumentException("--scenario has no value " + name);
+                throw new IllegalArgumentException(
+                        "--scenario: no scenario " + name + " in " + scenarioFile);
             }
         }
         return all.stream()
-                .filter(scenario -> names.isEmpty() || names.contains(scenario.name()))
+                .filter(
+                        scenario ->
+                                scenarioNames.isEmpty() || scenarioNames.contains(scenario.name()))
                 .toList();
     }
 
-    private List<Policy> chosenPolicies() {
-        return policies.isEmpty()
+    private List<Policy> selectedPolicies() {
+        return policyLabels.isEmpty()
                 ? List.of(Policy.values())
-                : policies.stream().map(Policy::fromLabel).toList();
+                : policyLabels.stream().map(Policy::fromLabel).toList();
     }
 
-    /** Runs the product once in vain, so that the first policy isn't measured uncompiled. */
-    private void compile(Scenario scenario) throws IOException, InterruptedException {
-        new PolicyRun(scenario, COMPILE_SECONDS, seed).run(Policy.PRODUCT);
+    /** Warms up the JIT compiler, so that the first policy isn't measured in interpreted code. */
+    private void warmUpCompiler(Scenario scenario) throws IOException, InterruptedException {
+        new PolicyRun(scenario, COMPILER_WARM_UP_SECONDS, seed).run(Policy.PRODUCT);
     }
 
-    private boolean run(Scenario scenario, List<Policy> chosen, Path directory)
+    private boolean run(Scenario scenario, List<Policy> selected, Path directory)
             throws IOException, InterruptedException {
         List<PolicyResult> results = new ArrayList<>();
-        for (Policy policy : chosen) {
+        for (Policy policy : selected) {
             results.add(new PolicyRun(scenario, seconds, seed).run(policy));
         }
         List<Verdict> verdicts = Verdict.of(scenario, results);
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/ExperimentService.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/ExperimentService.java
@@ -6,7 +6,10 @@
 import org.damaskmoor.schema.configuration.RetryPolicy;
 import org.damaskmoor.schema.configuration.ServiceConfiguration;
 
-/** The service of all experiments, its requests and what they count for. Stateless. */
+/**
+ * Defines the service that all experiments run: its configuration and the kinds of requests, with
+ * their weights and importance. Stateless.
+ */
 final class ExperimentService {
     static final String NAME = "experiment";
     static final int BOOKING_WEIGHT = 5;
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/ExperimentSite.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/ExperimentSite.java
@@ -25,10 +25,10 @@
 import org.damaskmoor.schema.settings.NodeSettings;
 
 /**
- * Everything that one policy is measured with, in this process: the platform stand-in, the upstream
- * stand-ins and the nodes, behind emulated links.
+ * Runs the system under test for one policy within this process: the platform stand-in, the
+ * upstream stand-ins and the nodes, connected by emulated links.
  *
- * <p>Used by one thread.
+ * <p>Confined to one thread.
  */
 final class ExperimentSite implements AutoCloseable {
     private static final Duration CONTROL_TIMEOUT = Duration.ofSeconds(3);
@@ -39,7 +39,7 @@
 
     private final Scenario scenario;
     private final long seed;
-    private final List<ExperimentVm> places;
+    private final List<ExperimentVm> vms;
     private final int platformPort;
     private final BlockingClient client = new BlockingClient(CONTROL_TIMEOUT);
     private final List<AutoCloseable> standIns = new ArrayList<>();
@@ -51,64 +51,68 @@
         this.scenario = scenario;
         this.seed = seed;
         this.platformPort = PortBlocks.firstFree(1 + scenario.upstreams() * ExperimentVm.PORTS);
-        this.places = ExperimentVm.layOut(scenario, platformPort + 1);
+        this.vms = ExperimentVm.layOut(scenario, platformPort + 1);
     }
 
-    /** Starts everything and waits until all nodes take callers. */
+    /**
+     * Starts the site and waits until all nodes are ready for callers.
+     *
+     * @param coldUpstreams how many of the last upstreams {@link #startColdUpstreams} starts later
+     */
     void start(Policy policy, int coldUpstreams) throws IOException, InterruptedException {
         standIns.add(new EventLoopServer("platform", platformPort, PlatformServlet::new));
         new TableServiceApplier(client, ExperimentVm.url(platformPort))
                 .apply(ExperimentService.configuration());
-        LinkFile links = new LinkFile(ExperimentVm.linkFile(scenario, places));
-        NodeOptions options = policy.options(this::observed);
-        for (ExperimentVm place : places) {
-            LinkTable table = new LinkTable(place.dataCentre(), links, System::nanoTime);
-            NodeProcess node = new NodeProcess(settings(place), Optional.empty(), table, options);
+        LinkFile links = new LinkFile(ExperimentVm.linkFile(scenario, vms));
+        NodeOptions options = policy.options(this::instrumented);
+        for (ExperimentVm vm : vms) {
+            LinkTable table = new LinkTable(vm.dataCentre(), links, System::nanoTime);
+            NodeProcess node = new NodeProcess(settings(vm), Optional.empty(), table, options);
             nodes.add(node);
             node.start().join();
         }
-        for (int i = 0; i < places.size() - coldUpstreams; i++) {
-            startUpstream(places.get(i), NO_COLD_START);
+        for (int i = 0; i < vms.size() - coldUpstreams; i++) {
+            startUpstream(vms.get(i), NO_COLD_START);
         }
         awaitReady();
     }
 
-    private InstrumentedRouter observed(org.damaskmoor.core.routing.Router router) {
+    private InstrumentedRouter instrumented(org.damaskmoor.core.routing.Router router) {
         long delay = TimeUnit.MILLISECONDS.toNanos(scenario.reportDelayMilliseconds());
         return new InstrumentedRouter(router, delay, attempts);
     }
 
-    /** Starts the upstreams that were left out. */
+    /** Starts the upstreams that {@link #start} did not start. */
     void startColdUpstreams(ColdStart coldStart) throws IOException {
-        for (int i = upstreams.size(); i < places.size(); i++) {
-            startUpstream(places.get(i), coldStart);
+        for (int i = upstreams.size(); i < vms.size(); i++) {
+            startUpstream(vms.get(i), coldStart);
         }
     }
 
-    private void startUpstream(ExperimentVm place, ColdStart coldStart) throws IOException {
+    private void startUpstream(ExperimentVm vm, ColdStart coldStart) throws IOException {
         upstreams.add(
                 new ExperimentUpstream(
-                        new ExperimentUpstream.Start(
+                        new ExperimentUpstream.Options(
                                 ExperimentService.NAME,
-                                place,
+                                vm,
                                 scenario.slots(),
                                 scenario.serviceMilliseconds(),
                                 coldStart,
-                                seed + place.basePort() - platformPort)));
+                                seed + vm.basePort() - platformPort)));
         standIns.add(upstreams.get(upstreams.size() - 1));
     }
 
-    private NodeSettings settings(ExperimentVm place) {
+    private NodeSettings settings(ExperimentVm vm) {
         Map<String, String> flags =
                 Map.of(
-                        "--node-id", place.nodeId(),
-                        "--region", place.region(),
-                        "--data-centre", place.dataCentre(),
-                        "--http-port", String.valueOf(place.httpPort()),
-                        "--mesh-port", String.valueOf(place.meshPort()),
-                        "--gossip-port", String.valueOf(place.gossipPort()),
-                        "--control-port", String.valueOf(place.controlPort()),
-                        "--operator-port", String.valueOf(place.operatorPort()),
+                        "--node-id", vm.nodeId(),
+                        "--region", vm.region(),
+                        "--data-centre", vm.dataCentre(),
+                        "--http-port", String.valueOf(vm.httpPort()),
+                        "--mesh-port", String.valueOf(vm.meshPort()),
+                        "--gossip-port", String.valueOf(vm.gossipPort()),
+                        "--control-port", String.valueOf(vm.controlPort()),
+                        "--operator-port", String.valueOf(vm.operatorPort()),
                         "--table-service-url", ExperimentVm.url(platformPort),
                         "--object-store-url", ExperimentVm.url(platformPort));
         try {
@@ -119,51 +123,53 @@
     }
 
     private void awaitReady() throws IOException, InterruptedException {
-        long end = System.nanoTime() + READY_TIMEOUT.toNanos();
-        for (ExperimentVm place : places) {
-            while (client.get(place.controlUrl() + "/ready").status() != 200) {
-                if (System.nanoTime() > end) {
-                    throw new IOException("not ready in time: " + place.nodeId());
+        long deadline = System.nanoTime() + READY_TIMEOUT.toNanos();
+        for (ExperimentVm vm : vms) {
+            while (client.get(vm.controlUrl() + "/ready").status() != 200) {
+                if (System.nanoTime() > deadline) {
+                    throw new IOException(
+                            "node " + vm.nodeId() + " not ready within " + READY_TIMEOUT);
                 }
                 Thread.sleep(POLL_MILLISECONDS);
             }
         }
     }
 
-    /** Returns where callers send. */
+    /** Returns the URLs that callers send requests to. */
     List<URI> entryUrls() {
-        return places.stream()
-                .filter(place -> scenario.entryRegions().contains(place.region()))
-                .map(place -> URI.create(place.entryUrl()))
+        return vms.stream()
+                .filter(vm -> scenario.entryRegions().contains(vm.region()))
+                .map(vm -> URI.create(vm.entryUrl()))
                 .toList();
     }
 
-    /** Returns the addresses of the upstreams. */
+    /** Returns the URLs of the upstreams. */
     List<URI> upstreamUrls() {
-        return places.stream().map(place -> URI.create(place.upstreamUrl())).toList();
+        return vms.stream().map(vm -> URI.create(vm.upstreamUrl())).toList();
     }
 
     List<ExperimentUpstream> upstreams() {
         return upstreams;
     }
 
-    /** Returns what was counted since the start. */
+    /** Returns the counters of all nodes and upstreams since the start. */
     SiteCounters counters() throws IOException {
         long served = 0;
-        long held = 0;
+        long heldNanoseconds = 0;
         for (int i = 0; i < upstreams.size(); i++) {
-            JsonObject counts = json(places.get(i).upstreamUrl() + "/stand-in/counters");
+            JsonObject counts = json(vms.get(i).upstreamUrl() + "/stand-in/counters");
             served += (long) counts.number("served", 0);
-            held += (long) counts.number("held_nanoseconds", 0);
+            heldNanoseconds += (long) counts.number("held_nanoseconds", 0);
         }
-        long measuring = 0;
-        long paid = 0;
-        for (ExperimentVm place : places) {
-            JsonObject metrics = json(place.controlUrl() + "/metrics.json");
-            measuring += sum(metrics, "damaskmoor_measuring_bytes_total");
-            paid += sum(metrics, "damaskmoor_paid_link_measuring_bytes_total");
+        long measuringBytes = 0;
+        long paidLinkBytes = 0;
+        for (ExperimentVm vm : vms) {
+            JsonObject metrics = json(vm.controlUrl() + "/metrics.json");
+            measuringBytes += sum(metrics, "damaskmoor_measuring_bytes_total");
+            paidLinkBytes += sum(metrics, "damaskmoor_paid_link_measuring_bytes_total");
         }
-        return new SiteCounters(attempts.sum(), served, held, measuring, paid);
+        return new SiteCounters(
+                attempts.sum(), served, heldNanoseconds, measuringBytes, paidLinkBytes);
     }
 
     private JsonObject json(String url) throws IOException {
@@ -192,7 +198,7 @@
         try {
             standIn.close();
         } catch (Exception e) {
-            throw new IOException("could not close a stand-in", e);
+            throw new IOException("could not stop a stand-in", e);
         }
     }
 }
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/ExperimentUpstream.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/ExperimentUpstream.java
@@ -16,67 +16,71 @@
 import org.damaskmoor.bench.upstream.UpstreamFaults;
 import org.damaskmoor.bench.upstream.UpstreamServlet;
 
-/** One upstream stand-in within this process. Thread safe. */
+/** Runs one upstream stand-in within this process, on an event loop of its own. Thread-safe. */
 final class ExperimentUpstream implements AutoCloseable {
     private static final Duration ANNOUNCE_TIMEOUT = Duration.ofSeconds(1);
-    private static final int CONNECTIONS = 250;
+    private static final int MAX_CONNECTIONS = 250;
 
     private final EventLoopServer server;
     private final UpstreamFaults faults = new UpstreamFaults();
     private ServiceTimes times;
 
-    /** What an upstream is started with. Immutable. */
-    record Start(
+    /** Start parameters of an upstream. Immutable. */
+    record Options(
             String service,
-            ExperimentVm place,
+            ExperimentVm vm,
             int slots,
             double serviceMilliseconds,
             ColdStart coldStart,
             long seed) {}
 
-    ExperimentUpstream(Start start) throws IOException {
+    ExperimentUpstream(Options options) throws IOException {
         server =
                 new EventLoopServer(
                         "upstream",
-                        start.place().upstreamPort(),
-                        eventLoop -> servlet(eventLoop, start));
+                        options.vm().upstreamPort(),
+                        eventLoop -> servlet(eventLoop, options));
     }
 
-    private UpstreamServlet servlet(Eventloop eventLoop, Start start) {
+    private UpstreamServlet servlet(Eventloop eventLoop, Options options) {
         times =
                 new ServiceTimes(
-                        start.serviceMilliseconds(),
-                        new Random(start.seed()),
-                        start.coldStart(),
+                        options.serviceMilliseconds(),
+                        new Random(options.seed()),
+                        options.coldStart(),
                         System.currentTimeMillis());
         UpstreamServlet servlet =
                 new UpstreamServlet(
                         eventLoop,
-                        new Slots(start.slots()),
+                        new Slots(options.slots()),
                         times,
                         faults,
                         new RunLedger(),
                         () -> {});
-        eventLoop.execute(() -> announcer(eventLoop, start, servlet).start());
+        eventLoop.execute(() -> announcer(eventLoop, options, servlet).start());
         return servlet;
     }
 
-    private static Announcer announcer(Eventloop eventLoop, Start start, UpstreamServlet servlet) {
+    private static Announcer announcer(
+            Eventloop eventLoop, Options options, UpstreamServlet servlet) {
         return new Announcer(
                 eventLoop,
                 LoopbackClient.create(eventLoop, ANNOUNCE_TIMEOUT),
-                URI.create(start.place().controlUrl()),
+                URI.create(options.vm().controlUrl()),
                 new Announcer.Upstream(
-                        start.service(), start.place().upstreamPort(), start.slots(), CONNECTIONS),
+                        options.service(),
+                        options.vm().upstreamPort(),
+                        options.slots(),
+                        MAX_CONNECTIONS),
                 servlet::state);
     }
 
-    /** Makes all later requests longer by the factor. */
+    /** Multiplies the service time of all later requests; 1 restores normal speed. */
     void setServiceTimeFactor(double factor) {
         server.eventLoop().execute(() -> times.shift(factor));
     }
 
-    /** Makes all later requests fail at once. */
+    /** Makes all later requests fail immediately. */
     void failFast() {
         server.eventLoop().execute(() -> faults.change(new JsonObject().with("fail_fast", true)));
     }
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/ExperimentVm.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/ExperimentVm.java
@@ -5,34 +5,35 @@
 import org.damaskmoor.bench.http.JsonObject;
 
 /**
- * Where one upstream and the node beside it stand, and their ports. Immutable.
+ * One upstream VM of an experiment: the location and ports of an upstream and its node. Immutable.
  *
- * @param basePort the first of their ports
+ * @param basePort the first of the {@link #PORTS} consecutive ports of the VM
  */
 record ExperimentVm(String nodeId, String region, String dataCentre, int basePort) {
+    /** Number of ports that each VM uses. */
     static final int PORTS = 6;
 
-    /** Returns the places of all upstreams of the scenario, in the order of its sites. */
+    /** Returns one VM for each upstream of the scenario, in the order of its sites. */
     static List<ExperimentVm> layOut(Scenario scenario, int firstPort) {
-        List<ExperimentVm> places = new ArrayList<>();
+        List<ExperimentVm> vms = new ArrayList<>();
         for (Scenario.Site site : scenario.sites()) {
             for (int i = 0; i < site.upstreams(); i++) {
-                int basePort = firstPort + places.size() * PORTS;
-                String nodeId = "node-" + (places.size() + 1);
-                places.add(new ExperimentVm(nodeId, site.region(), site.dataCentre(), basePort));
+                int basePort = firstPort + vms.size() * PORTS;
+                String nodeId = "node-" + (vms.size() + 1);
+                vms.add(new ExperimentVm(nodeId, site.region(), site.dataCentre(), basePort));
             }
         }
-        return places;
+        return vms;
     }
 
-    /** Returns the link file that says where every port stands. */
-    static JsonObject linkFile(Scenario scenario, List<ExperimentVm> places) {
+    /** Returns the link file, which maps every port to its data centre. */
+    static JsonObject linkFile(Scenario scenario, List<ExperimentVm> vms) {
         JsonObject ports = new JsonObject();
         JsonObject dataCentres = new JsonObject();
-        for (ExperimentVm place : places) {
-            ports.with(String.valueOf(place.meshPort()), place.dataCentre());
-            ports.with(String.valueOf(place.gossipPort()), place.dataCentre());
-            dataCentres.with(place.dataCentre(), place.region());
+        for (ExperimentVm vm : vms) {
+            ports.with(String.valueOf(vm.meshPort()), vm.dataCentre());
+            ports.with(String.valueOf(vm.gossipPort()), vm.dataCentre());
+            dataCentres.with(vm.dataCentre(), vm.region());
         }
         return new JsonObject()
                 .with("data_centres", dataCentres)
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/FaultInjector.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/FaultInjector.java
@@ -10,13 +10,13 @@
 import org.damaskmoor.bench.upstream.ServiceTimes.ColdStart;
 
 /**
- * Brings a scenario's fault about while the measured load runs.
+ * Injects a scenario's fault while the measured load runs.
  *
- * <p>Invariant: the same seed gives the same faults at the same times. Used by one thread; the
- * faults run on a thread of their own.
+ * <p>Invariant: the same seed gives the same faults at the same times. Confined to one thread; the
+ * faults run on a timer thread.
  */
 final class FaultInjector implements AutoCloseable {
-    private static final long FIRST_MILLISECONDS = 200;
+    private static final long FIRST_FAULT_MILLISECONDS = 200;
 
     private final Fault fault;
     private final ExperimentSite site;
@@ -36,52 +36,55 @@
         return thread;
     }
 
-    /** Starts the clock of the faults. */
+    /** Schedules the faults, relative to now. */
     void start() {
         switch (fault.kind()) {
-            case SLOW_SPELLS, NOISY_NEIGHBOURS -> after(FIRST_MILLISECONDS, this::spell);
-            case COLD_START -> after(FIRST_MILLISECONDS, this::coldStart);
+            case SLOW_SPELLS, NOISY_NEIGHBOURS ->
+                    schedule(FIRST_FAULT_MILLISECONDS, this::startSlowSpell);
+            case COLD_START -> schedule(FIRST_FAULT_MILLISECONDS, this::startColdUpstreams);
             case FAIL_FAST ->
-                    after(FIRST_MILLISECONDS, () -> last().forEach(ExperimentUpstream::failFast));
+                    schedule(
+                            FIRST_FAULT_MILLISECONDS,
+                            () -> lastUpstreams().forEach(ExperimentUpstream::failFast));
             default -> {
-                // no fault
+                // FaultKind.NONE
             }
         }
     }
 
-    private void after(long milliseconds, Runnable task) {
+    private void schedule(long milliseconds, Runnable task) {
         var unused = timer.schedule(task, milliseconds, TimeUnit.MILLISECONDS);
     }
 
-    private void spell() {
-        List<ExperimentUpstream> slow = concerned();
+    private void startSlowSpell() {
+        List<ExperimentUpstream> slow = slowUpstreams();
         slow.forEach(upstream -> upstream.setServiceTimeFactor(fault.factor()));
         long pause = Math.round(fault.pauseMilliseconds() * (0.5 + random.nextDouble()));
-        after(
+        schedule(
                 fault.spellMilliseconds(),
                 () -> {
                     slow.forEach(upstream -> upstream.setServiceTimeFactor(1));
-                    after(pause, this::spell);
+                    schedule(pause, this::startSlowSpell);
                 });
     }
 
-    private List<ExperimentUpstream> concerned() {
+    private List<ExperimentUpstream> slowUpstreams() {
         if (fault.kind() == Scenario.FaultKind.NOISY_NEIGHBOURS) {
-            return last();
+            return lastUpstreams();
         }
         return List.of(site.upstreams().get(random.nextInt(site.upstreams().size())));
     }
 
-    private List<ExperimentUpstream> last() {
+    private List<ExperimentUpstream> lastUpstreams() {
         List<ExperimentUpstream> all = site.upstreams();
         return all.subList(all.size() - fault.upstreams(), all.size());
     }
 
-    private void coldStart() {
+    private void startColdUpstreams() {
         try {
             site.startColdUpstreams(new ColdStart(fault.spellMilliseconds(), fault.factor()));
         } catch (IOException e) {
-            throw new IllegalStateException("the cold upstream could not start", e);
+            throw new IllegalStateException("could not start the cold upstreams", e);
         }
     }
 
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/FieldReader.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/FieldReader.java
@@ -7,54 +7,55 @@
 import org.damaskmoor.bench.http.JsonObject;
 
 /**
- * Reads the fields of one JSON object and notes each that is missing, wrong or unknown.
+ * Reads and validates the fields of one JSON object; collects a problem for each field that is
+ * missing, invalid or unknown.
  *
- * <p>Invariant: every fault names its field with the whole path. Not thread safe.
+ * <p>Invariant: every problem names its field with the full path. Not thread-safe.
  */
 final class FieldReader {
     private final JsonObject object;
     private final String path;
-    private final List<String> faults;
-    private final Set<String> known = new HashSet<>();
+    private final List<String> problems;
+    private final Set<String> knownNames = new HashSet<>();
 
-    FieldReader(JsonObject object, String path, List<String> faults) {
+    FieldReader(JsonObject object, String path, List<String> problems) {
         this.object = object;
         this.path = path;
-        this.faults = faults;
+        this.problems = problems;
     }
 
-    /** Returns a number within bounds; the field must be there. */
-    double number(String name, double least, double most) {
-        known.add(name);
+    /** Returns a required number within the bounds. */
+    double number(String name, double min, double max) {
+        knownNames.add(name);
         double value = object.number(name, Double.NaN);
-        if (!(value >= least && value <= most)) {
-            addProblem(name, "must be a number from " + least + " to " + most);
-            return least;
+        if (!(value >= min && value <= max)) {
+            addProblem(name, "must be a number from " + min + " to " + max);
+            return min;
         }
         return value;
     }
 
-    /** Returns a number within bounds, or the other value when the field is absent. */
-    double number(String name, double least, double most, double otherwise) {
-        known.add(name);
-        return object.has(name) ? number(name, least, most) : otherwise;
+    /** Returns a number within the bounds, or the default when the field is absent. */
+    double number(String name, double min, double max, double defaultValue) {
+        knownNames.add(name);
+        return object.has(name) ? number(name, min, max) : defaultValue;
     }
 
-    /** Returns a text that is not empty. */
+    /** Returns a required, non-empty string. */
     String text(String name) {
-        known.add(name);
+        knownNames.add(name);
         String value = object.text(name, "");
         if (value.isEmpty()) {
-            addProblem(name, "must be a text that is not empty");
+            addProblem(name, "must be a non-empty string");
         }
         return value;
     }
 
-    /** Returns the constant that a text with dashes names, or the first when it names none. */
+    /** Returns the enum constant named in kebab case; the first constant when there is none. */
     <E extends Enum<E>> E enumConstant(String name, Class<E> type) {
-        String wanted = text(name).replace('-', '_').toUpperCase(Locale.ROOT);
+        String constantName = text(name).replace('-', '_').toUpperCase(Locale.ROOT);
         for (E constant : type.getEnumConstants()) {
-            if (constant.name().equals(wanted)) {
+            if (constant.name().equals(constantName)) {
                 return constant;
             }
         }
@@ -62,46 +63,49 @@
         return type.getEnumConstants()[0];
     }
 
-    /** Returns an object, an empty one when the field is absent. */
+    /** Returns a reader of a nested object, which is empty when the field is absent. */
     FieldReader object(String name) {
-        known.add(name);
+        knownNames.add(name);
         if (object.has(name) && object.object(name).names().isEmpty()) {
-            addProblem(name, "must be an object with fields");
+            addProblem(name, "must be a non-empty object");
         }
-        return new FieldReader(object.object(name), path + name + ".", faults);
+        return new FieldReader(object.object(name), path + name + ".", problems);
     }
 
-    /** Returns the objects of a list; there must be one at least. */
+    /** Returns readers of the objects of a required, non-empty list. */
     List<FieldReader> objects(String name) {
-        known.add(name);
-        List<JsonObject> found = object.list(name, JsonObject.class);
-        if (found.isEmpty()) {
-            addProblem(name, "must be a list of objects that is not empty");
+        knownNames.add(name);
+        List<JsonObject> elements = object.list(name, JsonObject.class);
+        if (elements.isEmpty()) {
+            addProblem(name, "must be a non-empty list of objects");
         }
-        return java.util.stream.IntStream.range(0, found.size())
-                .mapToObj(i -> new FieldReader(found.get(i), path + name + "[" + i + "].", faults))
+        return java.util.stream.IntStream.range(0, elements.size())
+                .mapToObj(
+                        i ->
+                                new FieldReader(
+                                        elements.get(i), path + name + "[" + i + "].", problems))
                 .toList();
     }
 
-    /** Returns whether the field is there. */
+    /** Returns whether the field is present. */
     boolean has(String name) {
         return object.has(name);
     }
 
-    /** Returns the object itself, all of whose fields are read elsewhere. */
+    /** Returns the object itself, without validation of its fields. */
     JsonObject rawObject() {
-        known.addAll(object.names());
+        knownNames.addAll(object.names());
         return object;
     }
 
-    /** Notes all fields that were not asked for. */
+    /** Adds a problem for each field that no method of this reader was called for. */
     void rejectUnknownFields() {
         object.names().stream()
-                .filter(name -> !known.contains(name))
-                .forEach(name -> addProblem(name, "is not known here"));
+                .filter(name -> !knownNames.contains(name))
+                .forEach(name -> addProblem(name, "is unknown"));
     }
 
-    void addProblem(String name, String what) {
-        faults.add(path + name + " " + what);
+    void addProblem(String name, String problem) {
+        problems.add(path + name + " " + problem);
     }
 }
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/InstrumentedRouter.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/InstrumentedRouter.java
@@ -22,107 +22,108 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * Counts the attempts that a node sends, and makes the load reports that it hears old.
+ * Counts the attempts that a node sends, and delays the load reports that it receives.
  *
- * <p>Invariant: with a delay, the router hears with each answer the youngest report of that target
- * that is as old as the delay; before there is one it hears an empty report. Not thread-safe, but
- * for the counter.
+ * <p>Invariant: with a delay, the wrapped router gets with each answer the newest report of that
+ * target that is at least as old as the delay, or an empty report while there is none. Not
+ * thread-safe, except for the counter.
  */
 final class InstrumentedRouter implements Router {
-    private final Router router;
+    private final Router delegate;
     private final long delayNanoseconds;
     private final LongAdder attempts;
-    private final Map<TargetId, Deque<Heard>> reports = new HashMap<>();
+    private final Map<TargetId, Deque<ReceivedReport>> reports = new HashMap<>();
 
-    private record Heard(LoadReport report, long atNanoseconds) {}
+    private record ReceivedReport(LoadReport report, long receivedAtNanoseconds) {}
 
-    InstrumentedRouter(Router router, long delayNanoseconds, LongAdder attempts) {
-        this.router = router;
+    InstrumentedRouter(Router delegate, long delayNanoseconds, LongAdder attempts) {
+        this.delegate = delegate;
         this.delayNanoseconds = delayNanoseconds;
         this.attempts = attempts;
     }
 
-    private LoadReport old(TargetId target, LoadReport fresh, long now) {
+    private LoadReport delayed(TargetId target, LoadReport newReport, long now) {
         if (delayNanoseconds == 0) {
-            return fresh;
+            return newReport;
         }
-        Deque<Heard> heard = reports.computeIfAbsent(target, any -> new ArrayDeque<>());
-        heard.addLast(new Heard(fresh, now));
-        LoadReport oldEnough = LoadReport.getDefaultInstance();
-        while (!heard.isEmpty() && now - heard.peekFirst().atNanoseconds() >= delayNanoseconds) {
-            oldEnough = heard.removeFirst().report();
+        Deque<ReceivedReport> received = reports.computeIfAbsent(target, id -> new ArrayDeque<>());
+        received.addLast(new ReceivedReport(newReport, now));
+        LoadReport newestDelayed = LoadReport.getDefaultInstance();
+        while (!received.isEmpty()
+                && now - received.peekFirst().receivedAtNanoseconds() >= delayNanoseconds) {
+            newestDelayed = received.removeFirst().report();
         }
-        if (!oldEnough.equals(LoadReport.getDefaultInstance())) {
-            heard.addFirst(new Heard(oldEnough, now - delayNanoseconds));
+        if (!newestDelayed.equals(LoadReport.getDefaultInstance())) {
+            received.addFirst(new ReceivedReport(newestDelayed, now - delayNanoseconds));
         }
-        return oldEnough;
+        return newestDelayed;
     }
 
     @Override
     public void onSent(TargetId target, long now) {
         attempts.increment();
-        router.onSent(target, now);
+        delegate.onSent(target, now);
     }
 
     @Override
     public void onAnswered(TargetId target, long latency, LoadReport load, long now) {
-        router.onAnswered(target, latency, old(target, load, now), now);
+        delegate.onAnswered(target, latency, delayed(target, load, now), now);
     }
 
     @Override
     public void onRefused(
             TargetId target, long waited, RefusalReason reason, LoadReport load, long now) {
-        router.onRefused(target, waited, reason, old(target, load, now), now);
+        delegate.onRefused(target, waited, reason, delayed(target, load, now), now);
     }
 
     @Override
     public void onLoadReport(TargetId target, LoadReport load, long now) {
-        router.onLoadReport(target, old(target, load, now), now);
+        delegate.onLoadReport(target, delayed(target, load, now), now);
     }
 
     @Override
     public void updateTargets(Collection<Target> targets, long now) {
-        router.updateTargets(targets, now);
+        delegate.updateTargets(targets, now);
     }
 
     @Override
     public Optional<Choice> choose(RoutingRequest request, Set<NodeId> excluded, long now) {
-        return router.choose(request, excluded, now);
+        return delegate.choose(request, excluded, now);
     }
 
     @Override
     public Optional<Choice> chooseForKey(
             String key, KeyScope scope, Set<NodeId> excluded, long now) {
-        return router.chooseForKey(key, scope, excluded, now);
+        return delegate.chooseForKey(key, scope, excluded, now);
     }
 
     @Override
     public void onFailed(TargetId target, long waited, long now) {
-        router.onFailed(target, waited, now);
+        delegate.onFailed(target, waited, now);
     }
 
     @Override
     public void onAbandoned(TargetId target, long waited, long now) {
-        router.onAbandoned(target, waited, now);
+        delegate.onAbandoned(target, waited, now);
     }
 
     @Override
     public void onRegionSummary(RegionSummary summary, long now) {
-        router.onRegionSummary(summary, now);
+        delegate.onRegionSummary(summary, now);
     }
 
     @Override
     public void onUnreachable(TargetId target, long now) {
-        router.onUnreachable(target, now);
+        delegate.onUnreachable(target, now);
     }
 
     @Override
     public List<CandidateEstimate> explain(long now) {
-        return router.explain(now);
+        return delegate.explain(now);
     }
 
     @Override
     public boolean isRegionHeadroomExhausted() {
-        return router.isRegionHeadroomExhausted();
+        return delegate.isRegionHeadroomExhausted();
     }
 }
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/LatencyPlot.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/LatencyPlot.java
@@ -9,17 +9,17 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** Draws latency over quantile, one line a policy. Stateless and safe for all threads. */
+/** Plots latency over quantile, one line per policy. Stateless and thread-safe. */
 final class LatencyPlot {
     private static final int WIDTH = 900;
     private static final int HEIGHT = 600;
-    private static final double MOST_NINES = 4;
-    private static final double STEP_NINES = 0.05;
+    private static final double MAX_NINES = 4;
+    private static final double NINES_PER_POINT = 0.05;
     private static final double PERCENT = 100;
 
     private LatencyPlot() {}
 
-    /** Writes a PNG. */
+    /** Writes the plot as a PNG file. */
     static void write(String scenario, List<PolicyResult> results, Path file) throws IOException {
         XYChart chart =
                 new XYChartBuilder()
@@ -39,9 +39,9 @@
     }
 
     private static double[] nines() {
-        double[] nines = new double[(int) Math.round(MOST_NINES / STEP_NINES)];
+        double[] nines = new double[(int) Math.round(MAX_NINES / NINES_PER_POINT)];
         for (int i = 0; i < nines.length; i++) {
-            nines[i] = i * STEP_NINES;
+            nines[i] = i * NINES_PER_POINT;
         }
         return nines;
     }
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/Policy.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/Policy.java
@@ -7,17 +7,23 @@
 import org.damaskmoor.core.routing.Router;
 import org.damaskmoor.node.NodeOptions;
 
-/** The product's policy and the baselines, which neither retry nor hedge nor eject. */
+/**
+ * Load balancing policies that experiments compare: the product's own and baselines, which don't
+ * retry, hedge or eject.
+ */
 public enum Policy {
-    /** What the shipped node runs. */
+    /** The policy of the shipped node, by expected completion time. */
     PRODUCT,
-    /** Any upstream. */
+    /** A random upstream. */
     RANDOM,
     /** Each upstream in turn. */
     ROUND_ROBIN,
-    /** The upstream with the fewest own requests. */
+    /** The upstream with the fewest open requests from this node. */
     LEAST_OWN_REQUESTS,
-    /** The better of two upstreams by own requests; what the bounds speak of. */
+    /**
+     * The less loaded of two random upstreams, by this node's own open requests; the reference for
+     * the latency bounds.
+     */
     TWO_CHOICES;
 
     /** Returns the policy's name on the command line and in results. */
@@ -26,9 +32,9 @@
     }
 
     /**
-     * Returns the policy of this name.
+     * Returns the policy with this label.
      *
-     * @throws IllegalArgumentException when there is none
+     * @throws IllegalArgumentException when there is no such policy
      */
     static Policy fromLabel(String label) {
         for (Policy policy : values()) {
@@ -36,10 +42,10 @@
                 return policy;
             }
         }
-        throw new IllegalArgumentException("--policy has no value " + label);
+        throw new IllegalArgumentException("--policy: unknown policy " + label);
     }
 
-    /** Returns what a node that runs this policy is started with. */
+    /** Returns the options of a node that runs this policy. */
     NodeOptions options(UnaryOperator<Router> observer) {
         boolean product = this == PRODUCT;
         return new NodeOptions(this::choice, product, product, observer);
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/PolicyResult.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/PolicyResult.java
@@ -4,22 +4,22 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What one policy gave in one scenario.
+ * The result of one policy in one scenario.
  *
- * <p>Immutable, but for the histograms in the tallies, which nobody changes.
+ * <p>Effectively immutable: nothing changes the histograms in the statistics.
  *
- * @param tally what callers experienced
- * @param inTime the part of it that ended while the load lasted
- * @param counters what nodes and upstreams counted meanwhile
- * @param seconds length of the measured load
+ * @param statistics outcomes and latencies of all calls
+ * @param inTime those of the calls that ended before the load did
+ * @param counters counters of nodes and upstreams during the measured load
+ * @param seconds duration of the measured load
  * @param nodes number of nodes
- * @param slots slots of all upstreams together
- * @param loadAverage of the machine at the end, over a minute
+ * @param slots concurrent requests that all upstreams together can run
+ * @param loadAverage one-minute load average of the machine at the end
  */
 record PolicyResult(
         String scenario,
         Policy policy,
-        CallStatistics tally,
+        CallStatistics statistics,
         CallStatistics inTime,
         SiteCounters counters,
         double seconds,
@@ -30,22 +30,22 @@
     private static final double NANOSECONDS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
     double milliseconds(double percentile) {
-        return milliseconds(tally.latencies(), percentile);
+        return milliseconds(statistics.latencies(), percentile);
     }
 
     double lookupMilliseconds(double percentile) {
-        return milliseconds(tally.lookups(), percentile);
+        return milliseconds(statistics.lookups(), percentile);
     }
 
     double bookingMilliseconds(double percentile) {
-        return milliseconds(tally.bookings(), percentile);
+        return milliseconds(statistics.bookings(), percentile);
     }
 
     private static double milliseconds(Histogram histogram, double percentile) {
         return histogram.getValueAtPercentile(percentile) / NANOSECONDS_PER_MILLISECOND;
     }
 
-    /** Returns the requests that the upstreams could have run, by the times that they did take. */
+    /** Returns how many requests the upstreams could have run, given their mean service time. */
     double capacityRequests() {
         if (counters.served() == 0) {
             return 0;
@@ -55,14 +55,14 @@
         return slots * seconds / heldSeconds;
     }
 
-    /** Returns the answers weighted by importance as a share of what was possible. */
+    /** Returns the goodput: answers weighted by importance, as a share of the possible maximum. */
     double goodput() {
-        return tally.goodput(capacityRequests(), inTime);
+        return statistics.goodput(capacityRequests(), inTime);
     }
 
-    /** Returns retries and hedges. */
+    /** Returns the number of attempts beyond the first of each call. */
     long retriesAndHedges() {
-        return Math.max(0, counters.attempts() - tally.sent());
+        return Math.max(0, counters.attempts() - statistics.sent());
     }
 
     double measuringBytesPerSecond() {
@@ -74,10 +74,10 @@
     }
 
     double measuringBytesPerWeightedAnswer() {
-        return (double) counters.measuringBytes() / Math.max(1, tally.weightedAnswers());
+        return (double) counters.measuringBytes() / Math.max(1, statistics.weightedAnswers());
     }
 
     double weightedAnswersPerSecond() {
-        return tally.weightedAnswers() / seconds;
+        return statistics.weightedAnswers() / seconds;
     }
 }
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/PolicyRun.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/PolicyRun.java
@@ -15,13 +15,13 @@
 import org.damaskmoor.bench.load.Schedule.Shares;
 
 /**
- * Runs one policy in one scenario: the same schedule and the same faults for each policy.
+ * Runs one policy in one scenario, with the same schedule and the same faults for each policy.
  *
- * <p>Used by one thread.
+ * <p>Confined to one thread.
  */
 final class PolicyRun {
     private static final double WARM_UP_SECONDS = 5;
-    private static final long SETTLE_MILLISECONDS = 1500;
+    private static final long SETTLING_MILLISECONDS = 1500;
 
     private final Scenario scenario;
     private final double seconds;
@@ -37,7 +37,7 @@
         boolean cold = scenario.fault().kind() == FaultKind.COLD_START;
         try (ExperimentSite site = new ExperimentSite(scenario, seed)) {
             site.start(policy, cold ? scenario.fault().upstreams() : 0);
-            Thread.sleep(SETTLE_MILLISECONDS);
+            Thread.sleep(SETTLING_MILLISECONDS);
             load(site, "warm", WARM_UP_SECONDS, new ArrayList<>());
             SiteCounters before = site.counters();
             List<CallRecord> records;
@@ -67,9 +67,9 @@
                 ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage());
     }
 
-    /** Sends a schedule; adds to the list what ends while the schedule lasts. */
+    /** Sends a schedule of calls; adds the calls that end before the schedule does to the list. */
     private List<CallRecord> load(
-            ExperimentSite site, String stage, double length, List<CallRecord> inTime)
+            ExperimentSite site, String stage, double durationSeconds, List<CallRecord> inTime)
             throws InterruptedException {
         Schedule schedule =
                 new Schedule(
@@ -77,15 +77,15 @@
                         new Random(seed + stage.hashCode()),
                         stage + "-" + seed,
                         Shares.ROUTED_ONCE);
-        List<PlannedCall> calls = schedule.plan(scenario.requestsPerSecond(), length);
-        long end = System.nanoTime() + (long) (length * TimeUnit.SECONDS.toNanos(1));
-        Consumer<CallRecord> watcher = line -> addInTime(line, end, inTime);
-        return new LoadRun(site.entryUrls(), site.upstreamUrls(), watcher).run(calls);
+        List<PlannedCall> calls = schedule.plan(scenario.requestsPerSecond(), durationSeconds);
+        long end = System.nanoTime() + (long) (durationSeconds * TimeUnit.SECONDS.toNanos(1));
+        Consumer<CallRecord> listener = call -> addInTime(call, end, inTime);
+        return new LoadRun(site.entryUrls(), site.upstreamUrls(), listener).run(calls);
     }
 
-    private static void addInTime(CallRecord line, long endNanoseconds, List<CallRecord> inTime) {
+    private static void addInTime(CallRecord call, long endNanoseconds, List<CallRecord> inTime) {
         if (System.nanoTime() <= endNanoseconds) {
-            inTime.add(line);
+            inTime.add(call);
         }
     }
 }
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/ResultTable.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/ResultTable.java
@@ -4,11 +4,11 @@
 import java.util.Locale;
 import org.damaskmoor.bench.http.JsonObject;
 
-/** Writes results as a table for people and as JSON lines. Stateless and safe for all threads. */
+/** Formats results as a text table and as JSON lines. Stateless and thread-safe. */
 final class ResultTable {
     private ResultTable() {}
 
-    /** Returns the table of one scenario. */
+    /** Returns the results of one scenario as a table. */
     static String formatTable(List<PolicyResult> results) {
         StringBuilder text = new StringBuilder();
         text.append(
@@ -30,18 +30,18 @@
                         "extra",
                         "B/s/node",
                         "loadavg"));
-        results.forEach(result -> text.append(row(result)));
-        results.forEach(result -> text.append(reasons(result)));
+        results.forEach(result -> text.append(formatRow(result)));
+        results.forEach(result -> text.append(formatFailures(result)));
         return text.toString();
     }
 
-    private static String reasons(PolicyResult result) {
+    private static String formatFailures(PolicyResult result) {
         return String.format(
                 "without_answer policy=%s %s%n",
-                result.policy().label(), result.tally().failuresByReason());
+                result.policy().label(), result.statistics().failuresByReason());
     }
 
-    private static String row(PolicyResult result) {
+    private static String formatRow(PolicyResult result) {
         return String.format(
                 Locale.ROOT,
                 "%-18s %-18s %8.2f %8.2f %8.2f %9.2f %9.2f"
@@ -53,17 +53,17 @@
                 result.milliseconds(99.9),
                 result.lookupMilliseconds(99.9),
                 result.bookingMilliseconds(99),
-                result.tally().answered(),
-                result.tally().refused(),
-                result.tally().failed(),
-                result.tally().unknown(),
+                result.statistics().answered(),
+                result.statistics().refused(),
+                result.statistics().failed(),
+                result.statistics().unknown(),
                 result.goodput(),
                 result.retriesAndHedges(),
                 result.measuringBytesPerSecond(),
                 result.loadAverage());
     }
 
-    /** Returns the two users' views of each result: their own measures, the weightiest first. */
+    /** Returns the figures that each of the two users rates, the most important first. */
     static String formatUserViews(List<PolicyResult> results) {
         StringBuilder text = new StringBuilder();
         for (PolicyResult result : results) {
@@ -93,22 +93,22 @@
         return text.toString();
     }
 
-    /** Returns one JSON object of all figures. */
+    /** Returns all figures of a result as one JSON object. */
     static String toJson(PolicyResult result) {
         return new JsonObject()
                 .with("scenario", result.scenario())
                 .with("policy", result.policy().label())
                 .with("seconds", result.seconds())
-                .with("sent", result.tally().sent())
+                .with("sent", result.statistics().sent())
                 .with("p50_ms", result.milliseconds(50))
                 .with("p99_ms", result.milliseconds(99))
                 .with("p999_ms", result.milliseconds(99.9))
                 .with("lookup_p999_ms", result.lookupMilliseconds(99.9))
                 .with("booking_p99_ms", result.bookingMilliseconds(99))
-                .with("answered", result.tally().answered())
-                .with("refused", result.tally().refused())
-                .with("failed", result.tally().failed())
-                .with("unknown", result.tally().unknown())
+                .with("answered", result.statistics().answered())
+                .with("refused", result.statistics().refused())
+                .with("failed", result.statistics().failed())
+                .with("unknown", result.statistics().unknown())
                 .with("goodput", result.goodput())
                 .with("weighted_answers_per_second", result.weightedAnswersPerSecond())
                 .with("further_attempts", result.retriesAndHedges())
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/Scenario.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/Scenario.java
@@ -4,19 +4,19 @@
 import org.damaskmoor.bench.http.JsonObject;
 
 /**
- * One situation in which policies are compared, read from a scenario file. Immutable.
+ * One scenario in which policies are compared, read from a scenario file. Immutable.
  *
- * @param name names it in results
+ * @param name name of the scenario in results
  * @param load offered load as a share of the capacity in the entry regions
- * @param sites where upstreams stand
- * @param slots requests that an upstream runs at once
+ * @param sites the upstreams of each data centre
+ * @param slots requests that an upstream runs concurrently
  * @param serviceMilliseconds typical service time
  * @param bookingShare share of requests that are non-idempotent
- * @param entryRegions regions whose nodes callers send to
- * @param links how links between data centres and regions behave, as in a link file
- * @param fault what goes wrong during the measured load
+ * @param entryRegions regions whose nodes callers send requests to
+ * @param links properties of the links between data centres and regions, as in a link file
+ * @param fault the fault that is injected during the measured load
  * @param reportDelayMilliseconds age that load reports have when an entry node uses them
- * @param bounds what the product has to hold
+ * @param bounds the targets that the product must meet
  */
 public record Scenario(
         String name,
@@ -41,27 +41,27 @@
     /** The upstreams of one data centre. */
     public record Site(String dataCentre, String region, int upstreams) {}
 
-    /** What goes wrong. */
+    /** Kinds of faults. */
     public enum FaultKind {
-        /** Nothing. */
+        /** No fault. */
         NONE,
-        /** Again and again another upstream is slow for a short time. */
+        /** Random upstreams become slow for a short time, one after the other. */
         SLOW_SPELLS,
-        /** The same upstreams are slow again and again. */
+        /** The last upstreams become slow repeatedly. */
         NOISY_NEIGHBOURS,
-        /** The last upstreams start cold in the measured load. */
+        /** The last upstreams start during the measured load and are slow at first. */
         COLD_START,
-        /** The last upstreams answer everything at once with an error. */
+        /** The last upstreams answer every request immediately with an error. */
         FAIL_FAST
     }
 
     /**
      * A fault and its extent. Immutable.
      *
-     * @param upstreams how many upstreams it concerns at once
-     * @param factor on the service time
-     * @param spellMilliseconds how long it lasts
-     * @param pauseMilliseconds mean time until it comes again
+     * @param upstreams number of upstreams that are affected
+     * @param factor multiplier of the service time
+     * @param spellMilliseconds how long the fault lasts each time
+     * @param pauseMilliseconds mean time until the fault recurs
      */
     public record Fault(
             FaultKind kind,
@@ -70,31 +70,39 @@
             long spellMilliseconds,
             long pauseMilliseconds) {}
 
-    /** What a bound speaks of. */
+    /** The figure that a bound applies to. */
     public enum Measure {
-        /** At most this part of the 99th percentile of two choices. */
+        /**
+         * Latency at the 99th percentile, at most this fraction of that of {@link
+         * Policy#TWO_CHOICES}.
+         */
         P99_OF_TWO_CHOICES,
-        /** At most this part of the 99.9th percentile of two choices. */
+        /**
+         * Latency at the 99.9th percentile, at most this fraction of that of {@link
+         * Policy#TWO_CHOICES}.
+         */
         P999_OF_TWO_CHOICES,
-        /** At least this part of what the upstreams can do, weighted by importance. */
+        /**
+         * Goodput weighted by importance, at least this fraction of the capacity of the upstreams.
+         */
         GOODPUT_OF_CAPACITY
     }
 
-    /** A bound from the stated targets. Immutable. */
+    /** A target for one figure. Immutable. */
     public record Bound(Measure measure, double value) {}
 
-    /** Returns all upstreams. */
+    /** Returns the number of upstreams at all sites. */
     public int upstreams() {
         return sites.stream().mapToInt(Site::upstreams).sum();
     }
 
-    /** Returns the requests a second that callers send. */
+    /** Returns the offered load in requests per second. */
     public double requestsPerSecond() {
-        int near =
+        int entryUpstreams =
                 sites.stream()
                         .filter(site -> entryRegions.contains(site.region()))
                         .mapToInt(Site::upstreams)
                         .sum();
-        return load * near * slots * MILLISECONDS_PER_SECOND / serviceMilliseconds;
+        return load * entryUpstreams * slots * MILLISECONDS_PER_SECOND / serviceMilliseconds;
     }
 }
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/ScenarioFile.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/ScenarioFile.java
@@ -11,18 +11,18 @@
 import org.damaskmoor.bench.http.JsonObject;
 
 /**
- * Reads scenario files such as examples/experiments.json. Stateless and safe for all threads.
+ * Reads scenario files such as examples/experiments.json. Stateless and thread-safe.
  *
  * <pre>{@code
  * List<Scenario> scenarios = ScenarioFile.parse(Files.readString(path));
  * }</pre>
  */
 public final class ScenarioFile {
-    private static final double MOST_LOAD = 10;
-    private static final int MOST_UPSTREAMS = 100;
-    private static final int MOST_SLOTS = 1000;
-    private static final double MOST_MILLISECONDS = 60_000;
-    private static final double MOST_FACTOR = 1000;
+    private static final double MAX_LOAD = 10;
+    private static final int MAX_UPSTREAMS = 100;
+    private static final int MAX_SLOTS = 1000;
+    private static final double MAX_MILLISECONDS = 60_000;
+    private static final double MAX_FACTOR = 1000;
     private static final Fault NO_FAULT = new Fault(FaultKind.NONE, 0, 1, 0, 0);
 
     private ScenarioFile() {}
@@ -30,18 +30,18 @@
     /**
      * Returns the scenarios of a file.
      *
-     * @throws IllegalArgumentException when a field is bad; the message names every one
+     * @throws IllegalArgumentException when fields are invalid; the message names each of them
      */
     public static List<Scenario> parse(String text) {
-        List<String> faults = new ArrayList<>();
-        FieldReader file = new FieldReader(JsonObject.parse(text), "", faults);
+        List<String> problems = new ArrayList<>();
+        FieldReader file = new FieldReader(JsonObject.parse(text), "", problems);
         List<Scenario> scenarios =
                 file.objects("scenarios").stream().map(ScenarioFile::scenario).toList();
         file.rejectUnknownFields();
-        if (!faults.isEmpty()) {
+        if (!problems.isEmpty()) {
             throw new IllegalArgumentException(
-                    "The scenario file can't be used; correct these fields: "
-                            + String.join("; ", faults));
+                    "The scenario file is invalid; correct these fields: "
+                            + String.join("; ", problems));
         }
         return scenarios;
     }
@@ -51,24 +51,25 @@
         Scenario scenario =
                 new Scenario(
                         fields.text("name"),
-                        fields.number("load", 0.01, MOST_LOAD),
+                        fields.number("load", 0.01, MAX_LOAD),
                         sites,
-                        (int) fields.number("slots", 1, MOST_SLOTS),
-                        fields.number("service_milliseconds", 1, MOST_MILLISECONDS),
+                        (int) fields.number("slots", 1, MAX_SLOTS),
+                        fields.number("service_milliseconds", 1, MAX_MILLISECONDS),
                         fields.number("booking_share", 0, 1, 0),
                         List.of(entryRegion(fields, sites)),
                         fields.object("links").rawObject(),
                         fields.has("fault") ? fault(fields.object("fault")) : NO_FAULT,
-                        (long) fields.number("report_delay_milliseconds", 0, MOST_MILLISECONDS, 0),
+                        (long) fields.number("report_delay_milliseconds", 0, MAX_MILLISECONDS, 0),
                         bounds(fields.object("bounds")));
         if (scenario.fault().upstreams() > scenario.upstreams()) {
-            fields.addProblem("fault.upstreams", "must be at most the upstreams of all sites");
+            fields.addProblem(
+                    "fault.upstreams", "must be at most the number of upstreams at all sites");
         }
         fields.rejectUnknownFields();
         return scenario;
     }
 
-    /** Callers send to the nodes of one region: the named one, or that of the first site. */
+    /** Returns the region that callers send to; by default the region of the first site. */
     private static String entryRegion(FieldReader fields, List<Site> sites) {
         String first = sites.isEmpty() ? "" : sites.get(0).region();
         String region = fields.has("entry_region") ? fields.text("entry_region") : first;
@@ -83,7 +84,7 @@
                 new Site(
                         fields.text("data_centre"),
                         fields.text("region"),
-                        (int) fields.number("upstreams", 1, MOST_UPSTREAMS));
+                        (int) fields.number("upstreams", 1, MAX_UPSTREAMS));
         fields.rejectUnknownFields();
         return site;
     }
@@ -92,10 +93,10 @@
         Fault fault =
                 new Fault(
                         fields.enumConstant("kind", FaultKind.class),
-                        (int) fields.number("upstreams", 1, MOST_UPSTREAMS, 1),
-                        fields.number("factor", 1, MOST_FACTOR, 1),
-                        (long) fields.number("spell_milliseconds", 1, MOST_MILLISECONDS, 1),
-                        (long) fields.number("pause_milliseconds", 1, MOST_MILLISECONDS, 1));
+                        (int) fields.number("upstreams", 1, MAX_UPSTREAMS, 1),
+                        fields.number("factor", 1, MAX_FACTOR, 1),
+                        (long) fields.number("spell_milliseconds", 1, MAX_MILLISECONDS, 1),
+                        (long) fields.number("pause_milliseconds", 1, MAX_MILLISECONDS, 1));
         fields.rejectUnknownFields();
         return fault;
     }
@@ -105,7 +106,7 @@
         for (Measure measure : Measure.values()) {
             String name = measure.name().toLowerCase(Locale.ROOT);
             if (fields.has(name)) {
-                bounds.add(new Bound(measure, fields.number(name, 0, MOST_FACTOR)));
+                bounds.add(new Bound(measure, fields.number(name, 0, MAX_FACTOR)));
             }
         }
         fields.rejectUnknownFields();
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/SiteCounters.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/SiteCounters.java
@@ -1,17 +1,17 @@
 package org.damaskmoor.bench.experiment;
 
 /**
- * What a site counted since its start. Immutable.
+ * Counters of a site. Immutable.
  *
- * @param attempts calls that nodes sent to targets
- * @param served requests that upstreams ran to their end
- * @param heldNanoseconds time for which requests held slots
- * @param measuringBytes bytes that all nodes spent on measuring load
- * @param paidLinkBytes those of them that crossed the paid link
+ * @param attempts attempts that nodes sent to targets
+ * @param served requests that upstreams completed
+ * @param heldNanoseconds total time that requests occupied slots
+ * @param measuringBytes bytes that all nodes sent to measure load
+ * @param paidLinkBytes the part of {@code measuringBytes} that crossed the paid link
  */
 record SiteCounters(
         long attempts, long served, long heldNanoseconds, long measuringBytes, long paidLinkBytes) {
-    /** Returns what was counted since the earlier reading. */
+    /** Returns the differences from earlier counters. */
     SiteCounters since(SiteCounters earlier) {
         return new SiteCounters(
                 attempts - earlier.attempts,
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/TableServiceApplier.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/TableServiceApplier.java
@@ -7,9 +7,9 @@
 import org.damaskmoor.schema.configuration.VersionedConfiguration;
 
 /**
- * Writes the first version of a configuration straight into the table service, past all operators.
+ * Writes the first version of a configuration directly to the table service, without a node.
  *
- * <p>Thread safe.
+ * <p>Thread-safe.
  */
 final class TableServiceApplier {
     private final BlockingClient client;
@@ -20,9 +20,9 @@
         this.tableServiceUrl = tableServiceUrl;
     }
 
-    /** Puts the service in force. */
+    /** Writes the configuration as version 1, which nodes then load. */
     void apply(ServiceConfiguration service) throws IOException {
-        VersionedConfiguration first =
+        VersionedConfiguration configuration =
                 VersionedConfiguration.newBuilder()
                         .setService(service)
                         .setVersion(1)
@@ -33,10 +33,13 @@
         Reply reply =
                 client.create(
                         tableServiceUrl + "/tables/services/rows/" + service.getName(),
-                        first.toByteString());
+                        configuration.toByteString());
         if (reply.status() != 201) {
             throw new IOException(
-                    "service " + service.getName() + " not written: status " + reply.status());
+                    "service "
+                            + service.getName()
+                            + " not written to the table service: status "
+                            + reply.status());
         }
     }
 }
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/Verdict.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/Verdict.java
@@ -8,18 +8,18 @@
 import org.damaskmoor.bench.experiment.Scenario.Measure;
 
 /**
- * Whether the product held one bound. Immutable.
+ * The measured figure for one bound, and whether the product meets the bound. Immutable.
  *
- * @param name what the bound speaks of
- * @param measured the figure of the run; NaN when a policy that it needs was not run
- * @param bound the stated bound
- * @param atMost true when the figure may be at most the bound, false when at least
+ * @param name name of the figure
+ * @param measured the measured figure; NaN when it needs a policy that was not run
+ * @param bound the required limit
+ * @param atMost true when the bound is an upper limit, false when it is a lower limit
  */
 record Verdict(String scenario, String name, double measured, double bound, boolean atMost) {
-    static final double MEASURING_BYTES_PER_SECOND = 3000;
-    static final double PAID_LINK_BYTES_PER_SECOND = 37_500;
+    static final double MAX_MEASURING_BYTES_PER_SECOND = 3000;
+    static final double MAX_PAID_LINK_BYTES_PER_SECOND = 37_500;
 
-    /** Returns the verdicts on a scenario's own bounds and on the cost of measuring. */
+    /** Returns the verdicts on the scenario's bounds and on the network cost of measuring load. */
     static List<Verdict> of(Scenario scenario, List<PolicyResult> results) {
         List<Verdict> verdicts = new ArrayList<>();
         Optional<PolicyResult> product = find(results, Policy.PRODUCT);
@@ -34,14 +34,14 @@
                         scenario.name(),
                         "measuring_bytes_per_second_per_node",
                         product.get().measuringBytesPerSecond(),
-                        MEASURING_BYTES_PER_SECOND,
+                        MAX_MEASURING_BYTES_PER_SECOND,
                         true));
         verdicts.add(
                 new Verdict(
                         scenario.name(),
                         "paid_link_measuring_bytes_per_second",
                         product.get().paidLinkBytesPerSecond(),
-                        PAID_LINK_BYTES_PER_SECOND,
+                        MAX_PAID_LINK_BYTES_PER_SECOND,
                         true));
         return verdicts;
     }
@@ -50,8 +50,8 @@
             String scenario, Bound bound, PolicyResult product, List<PolicyResult> results) {
         double measured =
                 switch (bound.measure()) {
-                    case P99_OF_TWO_CHOICES -> ratio(product, results, 99);
-                    case P999_OF_TWO_CHOICES -> ratio(product, results, 99.9);
+                    case P99_OF_TWO_CHOICES -> ratioToTwoChoices(product, results, 99);
+                    case P999_OF_TWO_CHOICES -> ratioToTwoChoices(product, results, 99.9);
                     case GOODPUT_OF_CAPACITY -> product.goodput();
                 };
         boolean atMost = bound.measure() != Measure.GOODPUT_OF_CAPACITY;
@@ -59,10 +59,13 @@
         return new Verdict(scenario, name, measured, bound.value(), atMost);
     }
 
-    private static double ratio(
+    private static double ratioToTwoChoices(
             PolicyResult product, List<PolicyResult> results, double percentile) {
         return find(results, Policy.TWO_CHOICES)
-                .map(other -> product.milliseconds(percentile) / other.milliseconds(percentile))
+                .map(
+                        reference ->
+                                product.milliseconds(percentile)
+                                        / reference.milliseconds(percentile))
                 .orElse(Double.NaN);
     }
 
@@ -70,7 +73,7 @@
         return results.stream().filter(result -> result.policy() == policy).findFirst();
     }
 
-    /** Returns met, missed, or not-measured. */
+    /** Returns {@code met}, {@code missed} or {@code not-measured}. */
     String status() {
         if (Double.isNaN(measured)) {
             return "not-measured";
@@ -79,7 +82,7 @@
         return met ? "met" : "missed";
     }
 
-    /** Returns one line of key=value pairs. */
+    /** Returns the verdict as one line of key=value pairs. */
     String toLine() {
         return String.format(
                 Locale.ROOT,
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/package-info.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Experiments: real nodes over loopback, one policy after the other under the same load.
+ * Compares load balancing policies: runs real nodes over loopback, one policy after the other,
+ * under the same load.
  *
  * <p>Start at {@link org.damaskmoor.bench.experiment.ExperimentCommand}.
  */
--- a/bench/src/test/java/org/damaskmoor/bench/experiment/ScenarioFileTest.java
+++ b/bench/src/test/java/org/damaskmoor/bench/experiment/ScenarioFileTest.java
@@ -11,7 +11,7 @@
 
 class ScenarioFileTest {
     @Test
-    void should_read_the_example() throws Exception {
+    void should_read_the_example_file() throws Exception {
         // when
         List<Scenario> scenarios =
                 ScenarioFile.parse(Files.readString(Path.of("../examples/experiments.json")));
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void should_name_every_bad_field() {
+    void should_name_every_invalid_field() {
         // given
         String file =
                 """
--- a/bench/src/test/java/org/damaskmoor/bench/experiment/VerdictTest.java
+++ b/bench/src/test/java/org/damaskmoor/bench/experiment/VerdictTest.java
@@ -19,7 +19,7 @@
     private static final double SECONDS = 1;
 
     @Test
-    void should_tell_met_from_missed_when_the_figure_is_on_either_side_of_the_bound() {
+    void should_be_met_or_missed_when_the_figure_is_on_either_side_of_the_bound() {
         // given
         PolicyResult product = result(Policy.PRODUCT, answered(100, 10), 3001);
         PolicyResult baseline = result(Policy.TWO_CHOICES, answered(100, 16), 0);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void should_say_not_measured_when_two_choices_were_not_run() {
+    void should_be_not_measured_when_two_choices_was_not_run() {
         // given
         PolicyResult product = result(Policy.PRODUCT, answered(100, 10), 0);
 
@@ -52,22 +52,22 @@
     }
 
     @Test
-    void should_count_an_error_as_slow_although_it_came_fast() {
+    void should_count_an_error_as_slow_when_it_is_returned_fast() {
         // given
         CallRecord error = call(false, Outcome.ANSWERED, "status-500", 1);
 
         // when
-        CallStatistics tally = new CallStatistics(List.of(error));
+        CallStatistics statistics = new CallStatistics(List.of(error));
 
         // then
-        assertThat(tally.answered()).isEqualTo(0);
-        assertThat(tally.failed()).isEqualTo(1);
-        assertThat(tally.latencies().getMaxValue())
+        assertThat(statistics.answered()).isEqualTo(0);
+        assertThat(statistics.failed()).isEqualTo(1);
+        assertThat(statistics.latencies().getMaxValue())
                 .isAtLeast(TimeUnit.MILLISECONDS.toNanos(CallStatistics.FAILURE_MILLISECONDS));
     }
 
     @Test
-    void should_weigh_goodput_by_importance_against_the_best_that_capacity_allows() {
+    void should_weigh_goodput_by_importance_relative_to_the_maximum_for_the_capacity() {
         // given
         List<CallRecord> records = new java.util.ArrayList<>();
         records.addAll(Collections.nCopies(50, call(true, Outcome.ANSWERED, "status-200", 1)));
@@ -75,11 +75,11 @@
         records.addAll(Collections.nCopies(125, call(false, Outcome.REFUSED, "overloaded", 1)));
 
         // when
-        CallStatistics tally = new CallStatistics(records);
+        CallStatistics statistics = new CallStatistics(records);
 
         // then
-        double best = 50 * 3 + 50;
-        assertThat(tally.goodput(100, tally)).isWithin(1e-9).of((50 * 3 + 25) / best);
+        double maximum = 50 * 3 + 50;
+        assertThat(statistics.goodput(100, statistics)).isWithin(1e-9).of((50 * 3 + 25) / maximum);
     }
 
     private static Scenario scenario(Bound... bounds) {
@@ -97,8 +97,9 @@
                 List.of(bounds));
     }
 
-    private static PolicyResult result(Policy policy, List<CallRecord> records, long measuring) {
-        SiteCounters counters = new SiteCounters(records.size(), 100, 1, measuring, 0);
+    private static PolicyResult result(
+            Policy policy, List<CallRecord> records, long measuringBytes) {
+        SiteCounters counters = new SiteCounters(records.size(), 100, 1, measuringBytes, 0);
         return new PolicyResult(
                 "test",
                 policy,
