--- a/bench/src/main/java/org/damaskmoor/bench/demo/ChildProcesses.java
+++ b/bench/src/main/java/org/damaskmoor/bench/demo/ChildProcesses.java
@@ -10,10 +10,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The processes that the demo starts from this binary, each known by a name.
+ * Starts subcommands of this binary as child processes, each under a name.
  *
- * <p>Invariant: every process started here is ended by {@link #close()} or at the end of this JVM.
- * Thread safe.
+ * <p>Invariant: every process is stopped by {@link #close()} or when this JVM exits. Thread-safe.
  */
 public final class ChildProcesses implements AutoCloseable {
     private static final List<String> JVM_FLAGS =
@@ -26,17 +25,17 @@
     private static final long STOP_SECONDS = 2;
 
     private final Path directory;
-    private final Map<String, Process> running = new LinkedHashMap<>();
+    private final Map<String, Process> processes = new LinkedHashMap<>();
 
     /**
-     * @param directory where each process writes its log
+     * @param directory directory for the log files of the processes
      */
     public ChildProcesses(Path directory) {
         this.directory = directory;
         Runtime.getRuntime().addShutdownHook(new Thread(this::close, "end-children"));
     }
 
-    /** Starts a subcommand of this binary; a second start adds to the log of the first. */
+    /** Starts a subcommand of this binary; a restart appends to the same log file. */
     public synchronized void start(String name, List<String> arguments) throws IOException {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
@@ -51,73 +50,79 @@
                         .redirectOutput(
                                 Redirect.appendTo(directory.resolve(name + ".log").toFile()))
                         .start();
-        running.put(name, process);
+        processes.put(name, process);
     }
 
-    /** Returns true while the process runs. */
+    /** Returns whether the process is running. */
     public synchronized boolean alive(String name) {
-        return running.get(name).isAlive();
+        return processes.get(name).isAlive();
     }
 
-    /** Returns the names of processes that ended. */
+    /** Returns the names of the processes that have exited. */
     synchronized List<String> ended() {
-        return running.keySet().stream().filter(name -> !alive(name)).toList();
+        return processes.keySet().stream().filter(name -> !alive(name)).toList();
     }
 
-    /** Ends the process at once, as the loss of its VM would. */
+    /** Kills the process with SIGKILL, which simulates the loss of its VM. */
     public synchronized void kill(String name) {
-        running.get(name).destroyForcibly();
+        processes.get(name).destroyForcibly();
     }
 
-    /** Asks the process to end, as a planned stop does. */
+    /** Stops the process with SIGTERM, like a planned stop. */
     public synchronized void terminate(String name) {
-        running.get(name).destroy();
+        processes.get(name).destroy();
     }
 
-    /** Returns the exit code of a process that was told to end, once it ended. */
+    /** Waits until the process exits and returns its exit code. */
     public int awaitEnd(String name) throws InterruptedException {
         Process process;
         synchronized (this) {
-            process = running.get(name);
+            process = processes.get(name);
         }
         return process.waitFor();
     }
 
-    /** Stops the process where it stands, as a paused VM would, until {@link #resume}. */
+    /** Suspends the process until {@link #resume}, which simulates a paused VM. */
     public synchronized void freeze(String name) throws IOException {
         signal("-STOP", name);
     }
 
-    /** Lets a frozen process run on. */
+    /** Resumes a suspended process. */
     public synchronized void resume(String name) throws IOException {
         signal("-CONT", name);
     }
 
     private void signal(String signal, String name) throws IOException {
-        String pid = String.valueOf(running.get(name).pid());
+        String pid = String.valueOf(processes.get(name).pid());
         try {
-            int code = new ProcessBuilder("kill", signal, pid).start().waitFor();
-            if (code != 0) {
-                throw new IOException("signal " + signal + " to " + name + " failed: " + code);
+            int exitCode = new ProcessBuilder("kill", signal, pid).start().waitFor();
+            if (exitCode != 0) {
+                throw new IOException(
+                        "could not send signal "
+                                + signal
+                                + " to "
+                                + name
+                                + ": kill exited with "
+                                + exitCode);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted at signal " + signal + " to " + name, e);
+            throw new IOException("interrupted while sending signal " + signal + " to " + name, e);
         }
     }
 
-    /** Ends all processes: first politely, then at once. */
+    /** Stops all processes with SIGTERM, and with SIGKILL those that don't exit in time. */
     @Override
     public synchronized void close() {
-        running.values().forEach(Process::destroy);
+        processes.values().forEach(Process::destroy);
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(STOP_SECONDS);
-        running.values().forEach(process -> endBy(process, end));
-        running.clear();
+        processes.values().forEach(process -> stopBefore(process, end));
+        processes.clear();
     }
 
-    private static void endBy(Process process, long endNanoseconds) {
+    private static void stopBefore(Process process, long deadlineNanoseconds) {
         try {
-            long left = Math.max(0, endNanoseconds - System.nanoTime());
+            long left = Math.max(0, deadlineNanoseconds - System.nanoTime());
             if (!process.waitFor(left, TimeUnit.NANOSECONDS)) {
                 process.destroyForcibly();
             }
--- a/bench/src/main/java/org/damaskmoor/bench/demo/Demo.java
+++ b/bench/src/main/java/org/damaskmoor/bench/demo/Demo.java
@@ -22,14 +22,14 @@
 import org.damaskmoor.core.accounting.RefusalSummary;
 
 /**
- * One whole run: start everything, send load with faults on the way, hold all ledgers against
- * another.
+ * Runs the demo: starts a deployment, sends load while faults are injected, and compares the
+ * records of callers, upstreams and nodes.
  *
- * <p>Used by one thread, once.
+ * <p>Single use, confined to one thread.
  */
 final class Demo {
     private static final long START_TIMEOUT_MILLISECONDS = 20_000;
-    private static final long ACCOUNT_TIMEOUT_MILLISECONDS = 8_000;
+    private static final long FLUSH_TIMEOUT_MILLISECONDS = 8_000;
     private static final long POLL_MILLISECONDS = 200;
     private static final double WARM_UP_SECONDS = 4;
     private static final double LOAD_SECONDS = 15;
@@ -65,7 +65,7 @@
         this.progress = progress;
     }
 
-    /** Runs the demo and returns its totals. */
+    /** Runs the demo and returns its results. */
     Totals run(long seed) throws IOException, InterruptedException {
         start();
         Random random = new Random(seed);
@@ -82,17 +82,17 @@
             faults.start();
             records = load(measured.plan(rate, LOAD_SECONDS));
         }
-        progress.step("load ended, collecting ledgers");
+        progress.step("load finished, collecting ledgers");
         return totals(warmUp, records);
     }
 
     private void start() throws IOException, InterruptedException {
         site.startStandIns();
         site.awaitStandIns(START_TIMEOUT_MILLISECONDS);
-        progress.step("stand-ins run: platform and " + site.places().size() + " upstreams");
+        progress.step("stand-ins running: platform and " + site.places().size() + " upstreams");
         site.startNodes();
         site.awaitNodes(START_TIMEOUT_MILLISECONDS);
-        progress.step("nodes are ready: " + site.places().size());
+        progress.step("nodes ready: " + site.places().size());
         for (Service service : deployment.services()) {
             applier.apply(service.configuration());
         }
@@ -124,9 +124,9 @@
         return new Totals(warmUp, measured, violations, accounted, measuringBytes.sum(controlUrls));
     }
 
-    /** Waits a while for the last flush of refusals. */
+    /** Waits, with a timeout, until nodes have flushed all refusals to the object store. */
     private OptionalLong awaitAccounted(long refused) throws IOException, InterruptedException {
-        long end = System.currentTimeMillis() + ACCOUNT_TIMEOUT_MILLISECONDS;
+        long end = System.currentTimeMillis() + FLUSH_TIMEOUT_MILLISECONDS;
         OptionalLong accounted = accountedRefusals.count(site.platformUrl());
         while (accounted.orElse(refused) != refused && System.currentTimeMillis() < end) {
             Thread.sleep(POLL_MILLISECONDS);
--- a/bench/src/main/java/org/damaskmoor/bench/demo/DemoCommand.java
+++ b/bench/src/main/java/org/damaskmoor/bench/demo/DemoCommand.java
@@ -11,22 +11,22 @@
 import org.damaskmoor.bench.http.BlockingClient;
 import org.damaskmoor.bench.verification.Totals;
 
-/** Runs a whole deployment on this machine and checks its promises. Used by one thread. */
-@Command(name = "demo", description = "A whole deployment on this machine, with faults")
+/** Runs a deployment on this machine and checks its guarantees. Confined to one thread. */
+@Command(name = "demo", description = "Runs a deployment on this machine and injects faults")
 public final class DemoCommand implements Callable<Integer> {
     private static final Duration CONTROL_TIMEOUT = Duration.ofSeconds(3);
 
-    @Option(name = "--deployment", description = "Whose sizes: bern or cotizar")
+    @Option(name = "--deployment", description = "Deployment to run: bern or cotizar")
     @AllowedRawValues(allowedValues = {"bern", "cotizar"})
     private String deployment = "bern";
 
-    @Option(name = "--examples", description = "Directory of the deployments' files")
+    @Option(name = "--examples", description = "Directory of the deployment files")
     private String examples = "examples";
 
     @Option(name = "--base-port", description = "First port; 0 for the first free block")
     private int basePort;
 
-    @Option(name = "--seed", description = "Seed of the load")
+    @Option(name = "--seed", description = "Random seed of the load")
     private long seed = 1;
 
     @Override
@@ -62,7 +62,8 @@
     private static int report(Totals totals) {
         totals.violations().forEach(violation -> System.out.println("broken: " + violation));
         if (totals.exitCode() == Totals.NOT_MEASURED) {
-            System.out.println("not measured: refusals_accounted; this is no success");
+            System.out.println(
+                    "not measured: refusals_accounted; the run does not count as a success");
         }
         System.out.println(totals.line());
         return totals.exitCode();
--- a/bench/src/main/java/org/damaskmoor/bench/demo/DemoFaultInjector.java
+++ b/bench/src/main/java/org/damaskmoor/bench/demo/DemoFaultInjector.java
@@ -9,16 +9,16 @@
 import org.damaskmoor.bench.http.Reply;
 
 /**
- * What goes wrong during the load: one node is killed, another is drained.
+ * Injects the faults of the demo during the load: kills one node and drains another.
  *
- * <p>Used by one thread; the faults run on a timer thread.
+ * <p>Confined to one thread; the faults run on a timer thread.
  */
 final class DemoFaultInjector implements AutoCloseable {
     private static final long KILL_AFTER_SECONDS = 5;
     private static final long DRAIN_AFTER_SECONDS = 9;
 
-    private final Place killed;
-    private final Place drained;
+    private final Place nodeToKill;
+    private final Place nodeToDrain;
     private final ChildProcesses children;
     private final BlockingClient client;
     private final Progress progress;
@@ -26,14 +26,14 @@
 
     DemoFaultInjector(
             List<Place> places, ChildProcesses children, BlockingClient client, Progress progress) {
-        this.killed = places.get(1);
-        this.drained = places.get(places.size() - 1);
+        this.nodeToKill = places.get(1);
+        this.nodeToDrain = places.get(places.size() - 1);
         this.children = children;
         this.client = client;
         this.progress = progress;
     }
 
-    /** Starts the clock of the faults. */
+    /** Schedules the faults, relative to now. */
     void start() {
         schedule(KILL_AFTER_SECONDS, this::kill);
         schedule(DRAIN_AFTER_SECONDS, this::drain);
@@ -51,16 +51,16 @@
     }
 
     private void kill() {
-        children.kill(killed.nodeId());
-        progress.step("killed node " + killed.nodeId());
+        children.kill(nodeToKill.nodeId());
+        progress.step("killed node " + nodeToKill.nodeId());
     }
 
     private void drain() {
         try {
-            Reply reply = client.post(drained.controlUrl() + "/drain", "");
-            progress.step("drain of node " + drained.nodeId() + " answered " + reply.status());
+            Reply reply = client.post(nodeToDrain.controlUrl() + "/drain", "");
+            progress.step("drain of node " + nodeToDrain.nodeId() + ": status " + reply.status());
         } catch (IOException e) {
-            progress.step("drain of node " + drained.nodeId() + " failed: " + e.getMessage());
+            progress.step("drain of node " + nodeToDrain.nodeId() + " failed: " + e.getMessage());
         }
     }
 
--- a/bench/src/main/java/org/damaskmoor/bench/demo/Deployment.java
+++ b/bench/src/main/java/org/damaskmoor/bench/demo/Deployment.java
@@ -11,10 +11,11 @@
 import org.damaskmoor.schema.configuration.ServiceConfiguration;
 
 /**
- * The sizes, links, services and requests of one user, read from a file under examples. Immutable.
+ * One deployment: its data centres, services and load, read from a file in {@code examples}.
+ * Immutable.
  *
- * @param dataCentres the data centres and their regions, as in a link file
- * @param content the whole file, whose links go into the link file
+ * @param dataCentres maps each data centre to its region, as in a link file
+ * @param content the whole file; its link properties are copied to the link file
  */
 public record Deployment(
         JsonObject dataCentres,
@@ -31,7 +32,7 @@
             int connections,
             double serviceMilliseconds) {}
 
-    /** Reads a deployment's file. */
+    /** Reads a deployment file. */
     public static Deployment read(Path file) throws IOException {
         JsonObject content = JsonObject.parse(Files.readString(file));
         return new Deployment(
@@ -58,7 +59,8 @@
         try {
             JsonFormat.parser().merge(configuration.toString(), builder);
         } catch (InvalidProtocolBufferException e) {
-            throw new IllegalArgumentException("not a service configuration", e);
+            throw new IllegalArgumentException(
+                    "not a valid service configuration: " + configuration, e);
         }
         return builder.build();
     }
--- a/bench/src/main/java/org/damaskmoor/bench/demo/LoadCommand.java
+++ b/bench/src/main/java/org/damaskmoor/bench/demo/LoadCommand.java
@@ -23,18 +23,21 @@
 import org.damaskmoor.bench.verification.UpstreamRuns;
 
 /**
- * Sends a deployment's load to entries that run already and checks the ledgers. Used by one thread.
+ * Sends a deployment's load to running entry nodes and checks the ledgers of the upstreams.
+ * Confined to one thread.
  *
- * <p>With upstream stand-ins as entries it measures the callers alone.
+ * <p>With upstream stand-ins as entries it measures the overhead of the load generator.
  */
-@Command(name = "load", description = "Open-loop load on entries that run already")
+@Command(name = "load", description = "Sends open-loop load to running entry nodes")
 public final class LoadCommand implements Callable<Integer> {
     private static final Duration CONTROL_TIMEOUT = Duration.ofSeconds(3);
 
-    @Option(name = "--deployment-file", description = "File with the kinds of requests")
+    @Option(
+            name = "--deployment-file",
+            description = "Deployment file that lists the kinds of requests")
     private String deploymentFile = "examples/bern.json";
 
-    @Option(name = "--entry", description = "URL that callers send to; may be repeated")
+    @Option(name = "--entry", description = "URL of an entry node; may be repeated")
     @Required
     private List<String> entries = new ArrayList<>();
 
@@ -42,13 +45,13 @@
     @Required
     private List<String> upstreams = new ArrayList<>();
 
-    @Option(name = "--rate", description = "Requests a second")
+    @Option(name = "--rate", description = "Requests per second")
     private double rate = 100;
 
-    @Option(name = "--seconds", description = "Length of the load")
+    @Option(name = "--seconds", description = "Duration of the load")
     private double seconds = 10;
 
-    @Option(name = "--seed", description = "Seed of the load")
+    @Option(name = "--seed", description = "Random seed of the load")
     private long seed = 1;
 
     @Override
@@ -61,7 +64,7 @@
                         Shares.DEMO);
         List<PlannedCall> calls = schedule.plan(rate, seconds);
         List<CallRecord> records =
-                new LoadRun(urls(entries), urls(upstreams), progress -> {}).run(calls);
+                new LoadRun(urls(entries), urls(upstreams), call -> {}).run(calls);
         Totals totals =
                 new Totals(
                         List.of(),
--- a/bench/src/main/java/org/damaskmoor/bench/demo/MeasuringBytes.java
+++ b/bench/src/main/java/org/damaskmoor/bench/demo/MeasuringBytes.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.OptionalLong;
 
-/** Sums the bytes that nodes spent on measuring load. */
+/** Sums the bytes that nodes sent to measure load. */
 @FunctionalInterface
 interface MeasuringBytes {
-    /** Returns the sum over the nodes with these control addresses; empty when not measured. */
+    /** Returns the sum over the nodes at the control URLs; empty when no node could be read. */
     OptionalLong sum(List<String> controlUrls) throws IOException;
 }
--- a/bench/src/main/java/org/damaskmoor/bench/demo/MetricMeasuringBytes.java
+++ b/bench/src/main/java/org/damaskmoor/bench/demo/MetricMeasuringBytes.java
@@ -10,8 +10,8 @@
 import org.damaskmoor.bench.http.BlockingClient;
 
 /**
- * Reads the bytes spent on measuring from the metrics of the nodes that run; what a killed node
- * spent went with it. Immutable.
+ * Reads the bytes sent to measure load from the metrics of running nodes. The bytes of a killed
+ * node are not included, because its counters are lost. Immutable.
  */
 final class MetricMeasuringBytes implements MeasuringBytes {
     private static final String METRIC = "damaskmoor_measuring_bytes_total";
@@ -25,13 +25,13 @@
     @Override
     public OptionalLong sum(List<String> controlUrls) {
         long sum = 0;
-        int answered = 0;
+        int nodesRead = 0;
         for (String url : controlUrls) {
             OptionalLong bytes = read(url);
             sum += bytes.orElse(0);
-            answered += bytes.isPresent() ? 1 : 0;
+            nodesRead += bytes.isPresent() ? 1 : 0;
         }
-        return answered == 0 ? OptionalLong.empty() : OptionalLong.of(sum);
+        return nodesRead == 0 ? OptionalLong.empty() : OptionalLong.of(sum);
     }
 
     private OptionalLong read(String controlUrl) {
--- a/bench/src/main/java/org/damaskmoor/bench/demo/OperatorServiceApplier.java
+++ b/bench/src/main/java/org/damaskmoor/bench/demo/OperatorServiceApplier.java
@@ -10,9 +10,10 @@
 import org.damaskmoor.schema.settings.OperatorSettings;
 
 /**
- * Applies services as operators do: by gRPC to any node; then waits until every node holds them.
+ * Applies services through the operator API of any node, then waits until they are in force on
+ * every node.
  *
- * <p>Not thread safe.
+ * <p>Not thread-safe.
  */
 public final class OperatorServiceApplier implements ServiceApplier {
     private static final int CALL_TIMEOUT_MILLISECONDS = 5_000;
@@ -20,16 +21,16 @@
     private static final long POLL_MILLISECONDS = 50;
 
     private final List<Integer> operatorPorts;
-    private int next;
+    private int applied;
 
-    /** Applies through the operator ports of these nodes, in turn. */
+    /** Uses the operator ports of these nodes round robin. */
     public OperatorServiceApplier(List<Integer> operatorPorts) {
         this.operatorPorts = List.copyOf(operatorPorts);
     }
 
     @Override
     public void apply(ServiceConfiguration service) throws IOException {
-        int port = operatorPorts.get(next++ % operatorPorts.size());
+        int port = operatorPorts.get(applied++ % operatorPorts.size());
         String operationId = "demo-" + service.getName();
         try (OperatorClient client = open(port)) {
             long version = client.apply(service, 0, operationId).getVersion();
@@ -41,28 +42,33 @@
 
     private void awaitInForce(String service, long version) throws IOException, OperatorException {
         long end = System.currentTimeMillis() + IN_FORCE_TIMEOUT_MILLISECONDS;
-        List<Integer> behind = behind(operatorPorts, service, version);
-        while (!behind.isEmpty()) {
+        List<Integer> outdatedNodes = outdatedNodes(operatorPorts, service, version);
+        while (!outdatedNodes.isEmpty()) {
             if (System.currentTimeMillis() > end) {
                 throw new IOException(
-                        "service " + service + " not in force in time at ports " + behind);
+                        "service "
+                                + service
+                                + " not in force within "
+                                + IN_FORCE_TIMEOUT_MILLISECONDS
+                                + " ms on the nodes with operator ports "
+                                + outdatedNodes);
             }
             pause();
-            behind = behind(behind, service, version);
+            outdatedNodes = outdatedNodes(outdatedNodes, service, version);
         }
     }
 
-    private static List<Integer> behind(List<Integer> ports, String service, long version)
+    private static List<Integer> outdatedNodes(List<Integer> ports, String service, long version)
             throws IOException, OperatorException {
-        List<Integer> behind = new ArrayList<>();
+        List<Integer> outdatedNodes = new ArrayList<>();
         for (int port : ports) {
             try (OperatorClient client = open(port)) {
                 if (client.versionInForce(service) < version) {
-                    behind.add(port);
+                    outdatedNodes.add(port);
                 }
             }
         }
-        return behind;
+        return outdatedNodes;
     }
 
     private static void pause() throws IOException {
@@ -70,7 +76,9 @@
             Thread.sleep(POLL_MILLISECONDS);
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted while waiting for a configuration", interrupted);
+            throw new IOException(
+                    "interrupted while waiting for a configuration to come into force",
+                    interrupted);
         }
     }
 
@@ -83,8 +91,8 @@
                         .build();
         try {
             return OperatorClient.open(settings);
-        } catch (SettingsException impossible) {
-            throw new IOException(impossible);
+        } catch (SettingsException invalid) {
+            throw new IOException(invalid);
         }
     }
 }
--- a/bench/src/main/java/org/damaskmoor/bench/demo/Place.java
+++ b/bench/src/main/java/org/damaskmoor/bench/demo/Place.java
@@ -3,13 +3,13 @@
 import org.damaskmoor.bench.demo.Deployment.Service;
 
 /**
- * One upstream VM of the demo: an upstream, the node beside it, and their ports. Immutable.
+ * One emulated VM: an upstream, its node and their ports. Immutable.
  *
- * @param basePort the first of the VM's ports
+ * @param basePort the first of the {@link #PORTS} consecutive ports of the VM
  */
 public record Place(
         String nodeId, String region, String dataCentre, Service service, int basePort) {
-    /** How many ports each VM gets. */
+    /** Number of ports reserved for each VM. */
     public static final int PORTS = 10;
 
     public int httpPort() {
@@ -36,7 +36,7 @@
         return basePort + 5;
     }
 
-    /** The name of the upstream's process; the node's is the node id. */
+    /** Returns the process name of the upstream; the node's process is named after its id. */
     public String upstreamName() {
         return nodeId + "-upstream";
     }
--- a/bench/src/main/java/org/damaskmoor/bench/demo/Places.java
+++ b/bench/src/main/java/org/damaskmoor/bench/demo/Places.java
@@ -5,11 +5,11 @@
 import org.damaskmoor.bench.demo.Deployment.Service;
 import org.damaskmoor.bench.http.JsonObject;
 
-/** Lays a deployment's upstreams out over its data centres. Stateless and safe for all threads. */
+/** Distributes a deployment's upstreams over its data centres. Stateless and thread-safe. */
 public final class Places {
     private Places() {}
 
-    /** Spreads each service's upstreams in turn over all data centres. */
+    /** Assigns each service's upstreams to the data centres round robin. */
     public static List<Place> of(Deployment deployment, int basePort) {
         List<String> dataCentres = deployment.dataCentres().names();
         List<Place> places = new ArrayList<>();
@@ -28,13 +28,13 @@
         return places;
     }
 
-    /** Returns how many ports a deployment takes, from its base port on. */
+    /** Returns how many consecutive ports a deployment needs. */
     public static int ports(Deployment deployment) {
         int upstreams = deployment.services().stream().mapToInt(Service::upstreams).sum();
         return Place.PORTS * (upstreams + 1);
     }
 
-    /** Returns the link file that tells the nodes where every port stands. */
+    /** Returns the link file, which maps every port to its data centre. */
     public static JsonObject linkFile(Deployment deployment, List<Place> places) {
         JsonObject ports = new JsonObject();
         for (Place place : places) {
--- a/bench/src/main/java/org/damaskmoor/bench/demo/PortBlocks.java
+++ b/bench/src/main/java/org/damaskmoor/bench/demo/PortBlocks.java
@@ -6,26 +6,35 @@
 import java.util.stream.IntStream;
 
 /**
- * Finds ports that nobody uses, so that two runs on one machine don't meet.
+ * Finds blocks of unused ports, so that concurrent runs on one machine don't conflict.
  *
- * <p>Stateless and safe for all threads.
+ * <p>Stateless and thread-safe.
  */
 public final class PortBlocks {
-    private static final int FIRST = 21_000;
-    private static final int LAST = 32_000;
+    private static final int FIRST_PORT = 21_000;
+    private static final int LAST_PORT = 32_000;
 
     private PortBlocks() {}
 
     /**
-     * Returns the first port of a block that is free at the moment.
+     * Returns the first port of a block of consecutive ports that are free now.
      *
-     * @throws IOException when there is none
+     * @throws IOException when there is no such block
      */
     public static int firstFree(int ports) throws IOException {
-        return IntStream.iterate(FIRST, first -> first + ports <= LAST, first -> first + ports)
+        return IntStream.iterate(
+                        FIRST_PORT, first -> first + ports <= LAST_PORT, first -> first + ports)
                 .filter(first -> isFree(first, ports))
                 .findFirst()
-                .orElseThrow(() -> new IOException("no " + ports + " free ports in a row"));
+                .orElseThrow(
+                        () ->
+                                new IOException(
+                                        "no "
+                                                + ports
+                                                + " consecutive free ports from "
+                                                + FIRST_PORT
+                                                + " to "
+                                                + LAST_PORT));
     }
 
     private static boolean isFree(int first, int ports) {
--- a/bench/src/main/java/org/damaskmoor/bench/demo/ReportedRefusals.java
+++ b/bench/src/main/java/org/damaskmoor/bench/demo/ReportedRefusals.java
@@ -10,9 +10,9 @@
 import org.damaskmoor.report.AccountingReader;
 
 /**
- * Reads the refusals of this run with the code that reports them to operators.
+ * Reads the refusals of this run with the code of the operators' refusal report.
  *
- * <p>Immutable and thread safe.
+ * <p>Immutable and thread-safe.
  */
 final class ReportedRefusals implements Supplier<RefusalSummary> {
     private final URI objectStore;
--- a/bench/src/main/java/org/damaskmoor/bench/demo/ServiceApplier.java
+++ b/bench/src/main/java/org/damaskmoor/bench/demo/ServiceApplier.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import org.damaskmoor.schema.configuration.ServiceConfiguration;
 
-/** Puts a service's configuration in force. */
+/** Applies service configurations. */
 @FunctionalInterface
 public interface ServiceApplier {
     /** Returns once the configuration is in force on every node. */
--- a/bench/src/main/java/org/damaskmoor/bench/demo/Site.java
+++ b/bench/src/main/java/org/damaskmoor/bench/demo/Site.java
@@ -8,10 +8,10 @@
 import org.damaskmoor.bench.http.BlockingClient;
 
 /**
- * All processes of one deployment on this machine: the platform stand-in, and for each place an
- * upstream stand-in and a node behind emulated links.
+ * Starts the processes of one deployment on this machine: the platform stand-in, and for each place
+ * (emulated VM) an upstream stand-in and a node that communicates over emulated links.
  *
- * <p>Not thread safe.
+ * <p>Not thread-safe.
  */
 public final class Site {
     private static final String PLATFORM = "platform";
@@ -26,7 +26,7 @@
     private final BlockingClient client;
 
     /**
-     * @param directory takes the link file, the ledgers of runs and the logs
+     * @param directory directory for the link file, the ledgers of the upstreams and the logs
      */
     public Site(
             Deployment deployment,
@@ -59,22 +59,22 @@
         }
     }
 
-    /** Starts the upstream of one place, for the first time or again. */
+    /** Starts or restarts the upstream of one place. */
     public void startUpstream(Place place) throws IOException {
         children.start(place.upstreamName(), upstreamArguments(place));
     }
 
-    /** Starts the node of one place, for the first time or again. */
+    /** Starts or restarts the node of one place. */
     public void startNode(Place place) throws IOException {
         children.start(place.nodeId(), nodeArguments(place, linkFile()));
     }
 
-    /** Returns the file that nodes read their links from, again and again. */
+    /** Returns the link file, which nodes poll for changes. */
     public Path linkFile() {
         return directory.resolve("links.json");
     }
 
-    /** Returns the file in which the place's upstream keeps its runs, also through restarts. */
+    /** Returns the file in which the place's upstream records its runs, also across restarts. */
     public Path ledgerFile(Place place) {
         return directory.resolve(place.upstreamName() + ".ledger");
     }
@@ -118,7 +118,7 @@
                 "--accounting-flush-seconds=" + FLUSH_SECONDS);
     }
 
-    /** Waits until the platform and all upstreams answer. */
+    /** Waits until the platform and all upstreams respond. */
     public void awaitStandIns(long timeoutMilliseconds) throws IOException, InterruptedException {
         List<String> urls = new ArrayList<>();
         urls.add(platformUrl() + "/stand-in/counters");
@@ -126,7 +126,7 @@
         await(urls, timeoutMilliseconds);
     }
 
-    /** Waits until all nodes take callers. */
+    /** Waits until all nodes are ready for callers. */
     public void awaitNodes(long timeoutMilliseconds) throws IOException, InterruptedException {
         await(
                 places.stream().map(place -> place.controlUrl() + "/ready").toList(),
@@ -135,26 +135,31 @@
 
     private void await(List<String> urls, long timeoutMilliseconds)
             throws IOException, InterruptedException {
-        long end = System.currentTimeMillis() + timeoutMilliseconds;
+        long deadline = System.currentTimeMillis() + timeoutMilliseconds;
         for (String url : urls) {
-            while (!answers(url)) {
-                checkStarting(url, end);
+            while (!isReady(url)) {
+                checkNotFailed(url, deadline);
                 Thread.sleep(POLL_MILLISECONDS);
             }
         }
     }
 
-    private void checkStarting(String url, long endMilliseconds) throws IOException {
-        List<String> ended = children.ended();
-        if (!ended.isEmpty()) {
-            throw new IOException("ended while starting: " + ended + "; logs: " + directory);
+    private void checkNotFailed(String url, long deadlineMilliseconds) throws IOException {
+        List<String> exited = children.ended();
+        if (!exited.isEmpty()) {
+            throw new IOException(
+                    "processes exited during start: " + exited + "; see the logs in " + directory);
         }
-        if (System.currentTimeMillis() > endMilliseconds) {
-            throw new IOException("not ready in time: " + url + "; logs: " + directory);
+        if (System.currentTimeMillis() > deadlineMilliseconds) {
+            throw new IOException(
+                    "no status 200 from "
+                            + url
+                            + " before the timeout; see the logs in "
+                            + directory);
         }
     }
 
-    private boolean answers(String url) {
+    private boolean isReady(String url) {
         try {
             return client.get(url).status() == 200;
         } catch (IOException e) {
--- a/bench/src/main/java/org/damaskmoor/bench/demo/StoredRefusals.java
+++ b/bench/src/main/java/org/damaskmoor/bench/demo/StoredRefusals.java
@@ -11,9 +11,9 @@
 import org.damaskmoor.schema.mesh.RefusalCount;
 
 /**
- * Counts the refusals in the object store, on its own and apart from the code that reports them.
+ * Counts the refusals in the object store, independently of the code that reports them.
  *
- * <p>Thread safe.
+ * <p>Thread-safe.
  */
 public final class StoredRefusals implements AccountedRefusals {
     private static final String PREFIX = "refusals/";
@@ -28,18 +28,18 @@
     public OptionalLong count(String objectStoreUrl) throws IOException {
         List<RefusalObject> objects = new ArrayList<>();
         String after = "";
-        List<String> names = list(objectStoreUrl, after);
+        List<String> names = listNames(objectStoreUrl, after);
         while (!names.isEmpty()) {
             for (String name : names) {
                 objects.add(read(objectStoreUrl, name));
                 after = name;
             }
-            names = list(objectStoreUrl, after);
+            names = listNames(objectStoreUrl, after);
         }
         return OptionalLong.of(sum(objects));
     }
 
-    private List<String> list(String objectStoreUrl, String after) throws IOException {
+    private List<String> listNames(String objectStoreUrl, String after) throws IOException {
         String url = objectStoreUrl + "/objects?prefix=" + PREFIX + "&after=" + after;
         JsonObject page = JsonObject.parse(client.get(url).body().toStringUtf8());
         return page.list("objects", JsonObject.class).stream()
@@ -51,11 +51,11 @@
         try {
             return RefusalObject.parseFrom(client.get(objectStoreUrl + "/objects/" + name).body());
         } catch (InvalidProtocolBufferException e) {
-            throw new IOException("not a refusal object: " + name, e);
+            throw new IOException("object " + name + " is not a valid refusal object", e);
         }
     }
 
-    /** Sums the counts of all objects that no other object contains. */
+    /** Sums the counts of all objects whose batches are not contained in another object. */
     static long sum(List<RefusalObject> objects) {
         List<RefusalObject> distinct = objects.stream().distinct().toList();
         return distinct.stream()
--- a/bench/src/test/java/org/damaskmoor/bench/demo/DeploymentTest.java
+++ b/bench/src/test/java/org/damaskmoor/bench/demo/DeploymentTest.java
@@ -14,7 +14,7 @@
 
     @ParameterizedTest
     @CsvSource({"bern, 5, 7", "cotizar, 5, 6"})
-    void should_have_the_sizes_of_the_brief_when_read(String name, int first, int second)
+    void should_have_the_upstreams_of_the_deployment_when_read(String name, int first, int second)
             throws IOException {
         Deployment deployment = Deployment.read(EXAMPLES.resolve(name + ".json"));
 
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void should_give_every_place_its_own_ports_and_data_centre_when_laid_out() throws IOException {
+    void should_assign_own_ports_and_all_data_centres_when_laid_out() throws IOException {
         List<Place> places = Places.of(Deployment.read(EXAMPLES.resolve("bern.json")), 21_000);
 
         assertThat(places.stream().map(Place::basePort).distinct().count()).isEqualTo(12);
--- a/bench/src/test/java/org/damaskmoor/bench/demo/StoredRefusalsTest.java
+++ b/bench/src/test/java/org/damaskmoor/bench/demo/StoredRefusalsTest.java
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void should_count_once_when_one_object_contains_another() {
+    void should_count_a_batch_once_when_one_object_contains_another() {
         assertThat(
                         StoredRefusals.sum(
                                 List.of(
