--- a/bench/src/main/java/org/damaskmoor/bench/BenchMain.java
+++ b/bench/src/main/java/org/damaskmoor/bench/BenchMain.java
@@ -19,13 +19,15 @@
 import org.damaskmoor.node.NodeMain;
 
 /**
- * Entry point of the binary damaskmoor-bench: stand-ins, load callers and the demo.
+ * Entry point of the binary damaskmoor-bench: the demo, load generators, experiments, capacity
+ * measurements and stand-ins for the platform and upstreams.
  *
- * <p>Exit codes: what the command returns; 1 when it failed; 2 when its flags are wrong.
+ * <p>Exit code: that of the command; 1 when it fails with an exception; 2 when its flags are
+ * invalid.
  */
 public final class BenchMain {
     private static final int FAILED = 1;
-    private static final int WRONG_FLAGS = 2;
+    private static final int INVALID_FLAGS = 2;
 
     private BenchMain() {}
 
@@ -42,14 +44,14 @@
             return cli().parse(arguments).call();
         } catch (ParseException e) {
             System.err.println(e.getMessage());
-            return WRONG_FLAGS;
+            return INVALID_FLAGS;
         } catch (Exception e) {
             System.err.println("command=" + Arrays.toString(arguments) + " failed=" + e);
             return FAILED;
         }
     }
 
-    /** Runs the node until this process is told to end; the node stops in a shutdown hook. */
+    /** Runs the node until this process gets SIGTERM; the node stops in a shutdown hook. */
     private static int runNode(List<String> flags, ChannelCustomizer customizer) {
         return NodeMain.run(flags.toArray(String[]::new), customizer);
     }
--- a/bench/src/main/java/org/damaskmoor/bench/capacity/CapacityCommand.java
+++ b/bench/src/main/java/org/damaskmoor/bench/capacity/CapacityCommand.java
@@ -9,10 +9,13 @@
 import org.damaskmoor.bench.simulation.MembershipSimulation;
 
 /**
- * Measures the slopes that docs/CAPACITY.md works with: what one more member, service, target,
- * caller or call costs a node. One line of key=value pairs for each. Confined to one thread.
+ * Measures the marginal costs that docs/CAPACITY.md uses: what each additional member, service,
+ * target, caller or call costs a node. Prints one line of key=value pairs for each. Confined to one
+ * thread.
  */
-@Command(name = "capacity", description = "Measures what one more member or service costs a node.")
+@Command(
+        name = "capacity",
+        description = "Measures what each additional member or service costs a node.")
 public final class CapacityCommand implements Callable<Integer> {
     private static final List<Integer> DEFAULT_MEMBERS = List.of(100, 1_000, 2_800);
     private static final long SEED = 11;
@@ -20,12 +23,14 @@
 
     @Option(
             name = "--members",
-            description = "Sizes of the group for the membership slope. Default: 100, 1000, 2800.")
+            description =
+                    "Group size for the membership simulation; may be repeated."
+                            + " Default: 100, 1000, 2800.")
     private List<Integer> members = new ArrayList<>();
 
     @Option(
             name = "--idle-seconds",
-            description = "How long an idle node is measured; 0: not at all. Default: 30.")
+            description = "Duration of the measurement of an idle node; 0 skips it. Default: 30.")
     private int idleSeconds = 30;
 
     @Override
--- a/bench/src/main/java/org/damaskmoor/bench/capacity/IdleNodeMeasurement.java
+++ b/bench/src/main/java/org/damaskmoor/bench/capacity/IdleNodeMeasurement.java
@@ -14,9 +14,9 @@
 import org.damaskmoor.bench.platform.PlatformServlet;
 
 /**
- * Measures what a node process costs that serves no request: processor time and resident memory.
+ * Measures the processor time and resident memory of a node process that serves no requests.
  *
- * <p>Runs the node as a child process with the heap that is meant for a VM, and ends it. Stateless.
+ * <p>Runs the node as a child process with the heap size intended for a VM. Stateless.
  */
 final class IdleNodeMeasurement {
     private static final String HEAP = "-Xmx48m";
@@ -27,8 +27,8 @@
 
     private IdleNodeMeasurement() {}
 
-    /** Runs one idle node for the given time after its warm-up. */
-    static String measure(Duration span) throws IOException, InterruptedException {
+    /** Runs one idle node and measures it for the given time after a warm-up. */
+    static String measure(Duration duration) throws IOException, InterruptedException {
         int platformPort = freePort();
         EventLoopServer unused =
                 new EventLoopServer("platform", platformPort, PlatformServlet::new);
@@ -36,13 +36,13 @@
         try {
             TimeUnit.MILLISECONDS.sleep(WARM_UP.toMillis());
             Duration before = processorTime(node);
-            TimeUnit.MILLISECONDS.sleep(span.toMillis());
+            TimeUnit.MILLISECONDS.sleep(duration.toMillis());
             Duration used = processorTime(node).minus(before);
             return String.format(
                     Locale.ROOT,
                     "idle_node seconds=%d processor_ms_per_second=%.2f resident_mebibytes=%.0f %s",
-                    span.toSeconds(),
-                    (double) used.toMillis() / span.toSeconds(),
+                    duration.toSeconds(),
+                    (double) used.toMillis() / duration.toSeconds(),
                     residentBytes(node) / BYTES_PER_MEBIBYTE,
                     HEAP);
         } finally {
@@ -80,7 +80,7 @@
                 return Long.parseLong(kibibytes) * BYTES_PER_KIBIBYTE;
             }
         }
-        throw new IOException("no resident size in " + status);
+        throw new IOException("no " + RESIDENT + " line in " + status);
     }
 
     private static int freePort() throws IOException {
--- a/bench/src/main/java/org/damaskmoor/bench/capacity/StateCosts.java
+++ b/bench/src/main/java/org/damaskmoor/bench/capacity/StateCosts.java
@@ -38,7 +38,7 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 import org.damaskmoor.schema.mesh.UpstreamState;
 
-/** The slopes of a node's state: bytes and time for one more unit of each. Stateless. */
+/** Measures the memory and time per unit of each part of a node's state. Stateless. */
 final class StateCosts {
     private static final int FEW = 100;
     private static final int MEMBERS = 2_800;
@@ -61,39 +61,39 @@
                         FEW,
                         MEMBERS,
                         units -> {
-                            MemberDirectory made = new MemberDirectory();
-                            made.publish(members(units));
-                            return made;
+                            MemberDirectory measured = new MemberDirectory();
+                            measured.publish(members(units));
+                            return measured;
                         });
-        return line("directory", MEMBERS, bytes, "publish_us", microseconds);
+        return format("directory", MEMBERS, bytes, "publish_us", microseconds);
     }
 
     static String configuration() {
-        double bytes = HeapMeter.bytesPerUnit(FEW, SERVICES, StateCosts::configured);
+        double bytes = HeapMeter.bytesPerUnit(FEW, SERVICES, StateCosts::filledConfiguration);
         List<VersionedConfiguration> all = configurations(SERVICES);
         double microseconds = microseconds(() -> ServiceMatcher.of(all));
-        return line("service", SERVICES, bytes, "matcher_us", microseconds);
+        return format("service", SERVICES, bytes, "matcher_us", microseconds);
     }
 
     static String router() {
-        double bytes = HeapMeter.bytesPerUnit(FEW, TARGETS, StateCosts::routed);
-        Router router = routed(TARGETS);
-        RoutingRequest view = new RoutingRequest(false, TimeUnit.SECONDS.toNanos(1));
-        double microseconds = microseconds(() -> router.choose(view, Set.of(), 1));
-        return line("target", TARGETS, bytes, "choice_us", microseconds);
+        double bytes = HeapMeter.bytesPerUnit(FEW, TARGETS, StateCosts::filledRouter);
+        Router router = filledRouter(TARGETS);
+        RoutingRequest request = new RoutingRequest(false, TimeUnit.SECONDS.toNanos(1));
+        double microseconds = microseconds(() -> router.choose(request, Set.of(), 1));
+        return format("target", TARGETS, bytes, "choice_us", microseconds);
     }
 
     static String ledger() {
-        double bytes = HeapMeter.bytesPerUnit(FEW, CALLS, StateCosts::remembered);
-        return line("remembered_call", CALLS, bytes, "answer_bytes", 0);
+        double bytes = HeapMeter.bytesPerUnit(FEW, CALLS, StateCosts::filledLedger);
+        return format("remembered_call", CALLS, bytes, "answer_bytes", 0);
     }
 
     static String refusals() {
-        double bytes = HeapMeter.bytesPerUnit(FEW, REFUSAL_KEYS, StateCosts::refused);
-        return line("refusal_key", REFUSAL_KEYS, bytes, "keys_per_node_most", 4_096);
+        double bytes = HeapMeter.bytesPerUnit(FEW, REFUSAL_KEYS, StateCosts::filledReplicator);
+        return format("refusal_key", REFUSAL_KEYS, bytes, "keys_per_node_most", 4_096);
     }
 
-    private static String line(
+    private static String format(
             String unit, int count, double bytes, String timeName, double value) {
         return String.format(
                 Locale.ROOT,
@@ -137,7 +137,7 @@
         return members;
     }
 
-    private static Object configured(int services) {
+    private static Object filledConfiguration(int services) {
         ConfigurationStore store = new ConfigurationStore(accepted -> {});
         configurations(services).forEach(store::accept);
         return List.of(store, ServiceMatcher.of(store.all()));
@@ -165,7 +165,7 @@
         return configurations;
     }
 
-    private static Router routed(int targets) {
+    private static Router filledRouter(int targets) {
         Router router =
                 Router.create(
                         new RegionName("region-0"),
@@ -187,7 +187,7 @@
         return router;
     }
 
-    private static Object remembered(int calls) {
+    private static Object filledLedger(int calls) {
         Incarnation own = new Incarnation(1);
         TargetLedger ledger =
                 TargetLedger.bounded(own, new LedgerLimits(2 * CALLS, 8_000_000, 4_096));
@@ -201,7 +201,7 @@
         return ledger;
     }
 
-    private static Object refused(int keys) {
+    private static Object filledReplicator(int keys) {
         RefusalReplicator writer =
                 new RefusalReplicator(
                         new NodeId("node-1"),
@@ -210,11 +210,11 @@
                         List::of,
                         (peer, batch) -> {},
                         new SplittableRandom(1));
-        List<Object> kept = new ArrayList<>(List.of(writer));
+        List<Object> retained = new ArrayList<>(List.of(writer));
         for (int i = 0; i < keys; i++) {
-            kept.add(writer.record(refusal(i), i));
+            retained.add(writer.record(refusal(i), i));
         }
-        return kept;
+        return retained;
     }
 
     private static Refusal refusal(int number) {
--- a/bench/src/main/java/org/damaskmoor/bench/micro/AdmissionBenchmark.java
+++ b/bench/src/main/java/org/damaskmoor/bench/micro/AdmissionBenchmark.java
@@ -25,8 +25,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * Time in which one request is offered, another one ends and the next is handed over, with a given
- * number waiting.
+ * Measures one cycle of the admission controller (offer a request, finish another, dequeue the
+ * next) with a given number of queued requests.
  *
  * <p>Run with {@code java -cp ... org.openjdk.jmh.Main AdmissionBenchmark}.
  */
@@ -39,7 +39,7 @@
 public class AdmissionBenchmark {
     private static final int SLOTS = 10;
     private static final int QUEUE_LIMIT = 256;
-    private static final long STEP_NANOSECONDS = 100_000;
+    private static final long CYCLE_NANOSECONDS = 100_000;
     private static final long LATENCY_NANOSECONDS = 1_000_000;
     private static final NodeId ENTRY = new NodeId("entry");
     private static final Incarnation INCARNATION = new Incarnation(1);
@@ -53,7 +53,7 @@
     private long sequence;
     private long now;
 
-    /** Takes all slots and lets the given number wait. */
+    /** Occupies all slots and queues the given number of requests. */
     @Setup
     public void setUp() {
         controller = AdmissionController.create(new AdmissionOptions(0, QUEUE_LIMIT, Map.of()));
@@ -65,10 +65,10 @@
         }
     }
 
-    /** One offered, one ended, one handed over. */
+    /** Offers one request, finishes one and dequeues one. */
     @Benchmark
     public DequeuedRequests offerFinishDequeue() {
-        now += STEP_NANOSECONDS;
+        now += CYCLE_NANOSECONDS;
         controller.offer(request(), now);
         controller.onFinished(running, LATENCY_NANOSECONDS, AdmissionOutcome.ANSWERED, now);
         DequeuedRequests next = controller.dequeue(now);
--- a/bench/src/main/java/org/damaskmoor/bench/micro/ChoiceBenchmark.java
+++ b/bench/src/main/java/org/damaskmoor/bench/micro/ChoiceBenchmark.java
@@ -32,7 +32,7 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * Time of one choice, and of a whole turn of choice, send and answer.
+ * Measures the choice of a target, alone and in a full cycle of choice, send and answer.
  *
  * <p>Run with {@code java -cp ... org.openjdk.jmh.Main ChoiceBenchmark -prof gc}; each thread has
  * its own router.
@@ -44,7 +44,7 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
 public class ChoiceBenchmark {
-    private static final long STEP_NANOSECONDS = 20_000;
+    private static final long CYCLE_NANOSECONDS = 20_000;
     private static final long LATENCY_NANOSECONDS = 5_000_000;
     private static final int CAPACITY = 10;
 
@@ -56,7 +56,7 @@
     private LoadReport report;
     private long now;
 
-    /** Half of the targets in the own data centre, all with some load. */
+    /** Creates a router with half of the targets in the own data centre, all half loaded. */
     @Setup
     public void setUp() {
         router =
@@ -79,17 +79,17 @@
         targets.forEach(target -> router.onSent(target.id(), now));
     }
 
-    /** The choice alone. */
+    /** Chooses a target. */
     @Benchmark
     public Optional<Choice> choose() {
-        now += STEP_NANOSECONDS;
+        now += CYCLE_NANOSECONDS;
         return router.choose(request, Set.of(), now);
     }
 
-    /** Choice, send and answer. */
+    /** Chooses a target, sends a request to it and records the answer. */
     @Benchmark
     public Optional<Choice> chooseSendAnswer() {
-        now += STEP_NANOSECONDS;
+        now += CYCLE_NANOSECONDS;
         Optional<Choice> choice = router.choose(request, Set.of(), now);
         TargetId target = choice.orElseThrow().target().id();
         router.onSent(target, now);
--- a/bench/src/main/java/org/damaskmoor/bench/simulation/MembershipSimulation.java
+++ b/bench/src/main/java/org/damaskmoor/bench/simulation/MembershipSimulation.java
@@ -14,20 +14,20 @@
 import org.damaskmoor.schema.gossip.MemberRecord;
 
 /**
- * Drives the membership state machines of one group with virtual time and measures what each costs.
- * Not thread-safe.
+ * Simulates the membership protocol of one group in virtual time and measures its traffic,
+ * processor time, heap and propagation times. Not thread-safe.
  */
 public final class MembershipSimulation {
-    private static final long TICK = MembershipProtocol.TICK_MILLISECONDS;
+    private static final long TICK_MILLISECONDS = MembershipProtocol.TICK_MILLISECONDS;
     private static final long SETTLING_MILLISECONDS = 20_000;
-    private static final long LONGEST_SPREAD_MILLISECONDS = 60_000;
-    private static final long LONGEST_DETECTION_MILLISECONDS = 300_000;
-    private static final long CHECK_MILLISECONDS = 1_000;
+    private static final long PROPAGATION_TIMEOUT_MILLISECONDS = 60_000;
+    private static final long DETECTION_TIMEOUT_MILLISECONDS = 300_000;
+    private static final long CHECK_INTERVAL_MILLISECONDS = 1_000;
     private static final long DAY_MILLISECONDS = 86_400_000;
     private static final int RECORDS_PER_PAGE = 400;
 
-    /** The larger fleet's churn, which shrinks with the group. */
-    private static final int FLEET = 2_800;
+    /** Members of the larger fleet; the simulated churn is scaled by size from this fleet's. */
+    private static final int FLEET_SIZE = 2_800;
 
     private static final int MEMBER_CHANGES_PER_DAY = 4 * 305;
     private static final int CONFIGURATION_CHANGES_PER_DAY = 3_400;
@@ -37,7 +37,7 @@
     private final VirtualNetwork network = new VirtualNetwork();
     private final List<SimulatedMember> members = new ArrayList<>();
     private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
-    private long now = 1_000_000;
+    private long nowMilliseconds = 1_000_000;
     private long configurationVersion = 1;
 
     public MembershipSimulation(int size, long seed) {
@@ -46,7 +46,7 @@
     }
 
     public SimulationResult run(long measuredMilliseconds) {
-        double heapBytesPerMember = fill();
+        double heapBytesPerMember = addMembers();
         advance(SETTLING_MILLISECONDS, false);
         VirtualNetwork.Totals before = network.totals();
         long processorNanoseconds = threads.getCurrentThreadCpuTime();
@@ -64,48 +64,53 @@
                 churned,
                 processorNanoseconds / 1_000.0,
                 heapBytesPerMember,
-                spreadConfiguration(),
-                spreadLeave(),
-                failDataCentre());
+                measureConfigurationPropagation(),
+                measureLeavePropagation(),
+                measureDataCentreFailure());
     }
 
-    /** Stops all members of one data centre at once. */
-    private SimulationResult.Failure failDataCentre() {
+    /** Stops all members of one data centre at once; measures detection time and traffic. */
+    private SimulationResult.Failure measureDataCentreFailure() {
         String dataCentre = members.get(2).dataCentre();
         members.stream()
                 .filter(member -> member.dataCentre().equals(dataCentre))
                 .forEach(SimulatedMember::fail);
-        List<SimulatedMember> left = members.stream().filter(each -> !each.hasFailed()).toList();
-        int failed = size - left.size();
+        List<SimulatedMember> survivors =
+                members.stream().filter(member -> !member.hasFailed()).toList();
+        int failed = size - survivors.size();
         VirtualNetwork.Totals before = network.totals();
-        long start = now;
-        boolean known = false;
-        while (!known && now - start < LONGEST_DETECTION_MILLISECONDS) {
-            advance(CHECK_MILLISECONDS, false);
-            known = left.stream().allMatch(member -> member.deadMembers() >= failed);
+        long start = nowMilliseconds;
+        boolean detected = false;
+        while (!detected && nowMilliseconds - start < DETECTION_TIMEOUT_MILLISECONDS) {
+            advance(CHECK_INTERVAL_MILLISECONDS, false);
+            detected = survivors.stream().allMatch(member -> member.deadMembers() >= failed);
         }
-        long milliseconds = now - start;
+        long milliseconds = nowMilliseconds - start;
         VirtualNetwork.Totals traffic = network.totals().minus(before);
         advance(SETTLING_MILLISECONDS, false);
-        long mostDead = left.stream().mapToLong(SimulatedMember::deadMembers).max().orElse(0);
-        double bytesPerSecond = traffic.bytes() * 1_000.0 / milliseconds / left.size();
+        long maxDeadMembers =
+                survivors.stream().mapToLong(SimulatedMember::deadMembers).max().orElse(0);
+        double bytesPerSecond = traffic.bytes() * 1_000.0 / milliseconds / survivors.size();
         return new SimulationResult.Failure(
-                failed, known ? milliseconds : -1, bytesPerSecond, mostDead - failed);
+                failed, detected ? milliseconds : -1, bytesPerSecond, maxDeadMembers - failed);
     }
 
-    /** Makes all members know one another; returns what one of them keeps for each other one. */
-    private double fill() {
+    /**
+     * Adds all members, each with the records of all others; returns the heap bytes that a member
+     * uses per known member.
+     */
+    private double addMembers() {
         List<GossipMessage> pages = pages();
         long heapBefore = usedHeap();
         for (int i = 0; i < size; i++) {
-            SimulatedMember member = new SimulatedMember(i, network, random, now);
+            SimulatedMember member = new SimulatedMember(i, network, random, nowMilliseconds);
             network.add(member);
-            member.join(List.of(), now);
-            pages.forEach(page -> member.receivePage(page, member.address(), now));
+            member.join(List.of(), nowMilliseconds);
+            pages.forEach(page -> member.receivePage(page, member.address(), nowMilliseconds));
             members.add(member);
         }
-        double known = (double) size * size;
-        return (usedHeap() - heapBefore) / known + recordHeapBytes();
+        double knownMembers = (double) size * size;
+        return (usedHeap() - heapBefore) / knownMembers + recordHeapBytes();
     }
 
     private List<GossipMessage> pages() {
@@ -124,7 +129,7 @@
         return SimulatedMember.recordOf(number).toBuilder().setStateValue(1).build();
     }
 
-    /** The members here share their records; a process of its own holds each one. */
+    /** Returns the heap bytes of one record: simulated members share records, real nodes don't. */
     private static double recordHeapBytes() {
         int count = 20_000;
         List<MemberRecord> records = new ArrayList<>(count);
@@ -145,8 +150,8 @@
     }
 
     private void advance(long milliseconds, boolean churn) {
-        long end = now + milliseconds;
-        while (now < end) {
+        long end = nowMilliseconds + milliseconds;
+        while (nowMilliseconds < end) {
             step();
             if (churn) {
                 churn();
@@ -155,19 +160,19 @@
     }
 
     private void step() {
-        now += TICK;
-        network.deliver(now);
+        nowMilliseconds += TICK_MILLISECONDS;
+        network.deliver(nowMilliseconds);
         for (SimulatedMember member : members) {
-            member.tick(now);
+            member.tick(nowMilliseconds);
         }
     }
 
-    /** Changes of members and of configuration at the rate of the larger fleet. */
+    /** Changes random members and configurations at the rate of the larger fleet. */
     private void churn() {
-        double share = (double) size / FLEET * TICK / DAY_MILLISECONDS;
+        double share = (double) size / FLEET_SIZE * TICK_MILLISECONDS / DAY_MILLISECONDS;
         if (random.nextDouble() < share * MEMBER_CHANGES_PER_DAY) {
             SimulatedMember member = members.get(random.nextInt(size));
-            member.announceCapacity(1 + random.nextInt(1_000), now);
+            member.announceCapacity(1 + random.nextInt(1_000), nowMilliseconds);
         }
         if (random.nextDouble() < share * CONFIGURATION_CHANGES_PER_DAY) {
             members.get(random.nextInt(size)).broadcastConfiguration(nextVersion());
@@ -181,23 +186,23 @@
                 .build();
     }
 
-    private long spreadConfiguration() {
+    private long measureConfigurationPropagation() {
         ConfigurationVersion version = nextVersion();
         members.get(0).broadcastConfiguration(version);
-        return untilAll(member -> member.hasConfiguration(version));
+        return awaitAll(member -> member.hasConfiguration(version));
     }
 
-    private long spreadLeave() {
+    private long measureLeavePropagation() {
         NodeId leaving = members.get(1).id();
-        members.get(1).startLeaving(now);
-        return untilAll(member -> member.knowsLeaving(leaving));
+        members.get(1).startLeaving(nowMilliseconds);
+        return awaitAll(member -> member.knowsLeaving(leaving));
     }
 
-    private long untilAll(Predicate<SimulatedMember> knows) {
-        long start = now;
-        while (now - start < LONGEST_SPREAD_MILLISECONDS) {
-            if (members.stream().allMatch(knows)) {
-                return now - start;
+    private long awaitAll(Predicate<SimulatedMember> condition) {
+        long start = nowMilliseconds;
+        while (nowMilliseconds - start < PROPAGATION_TIMEOUT_MILLISECONDS) {
+            if (members.stream().allMatch(condition)) {
+                return nowMilliseconds - start;
             }
             step();
         }
--- a/bench/src/main/java/org/damaskmoor/bench/simulation/SimulatedMember.java
+++ b/bench/src/main/java/org/damaskmoor/bench/simulation/SimulatedMember.java
@@ -17,7 +17,7 @@
 import org.damaskmoor.schema.gossip.QuarantineRecord;
 import org.damaskmoor.schema.mesh.UpstreamState;
 
-/** One node's membership protocol on the virtual network. Not thread-safe. */
+/** One node of the simulation: its membership protocol on the virtual network. Not thread-safe. */
 final class SimulatedMember implements GossipExtension {
     private static final int FIRST_PORT = 10_000;
     private static final int SERVICES = 340;
@@ -78,7 +78,7 @@
         protocol.join(peers, nowMilliseconds);
     }
 
-    /** Takes in members as a finished join does, so that large groups need not join one by one. */
+    /** Adds members like a completed join, so that large groups need not join one by one. */
     void receivePage(GossipMessage page, InetSocketAddress from, long nowMilliseconds) {
         protocol.receive(page, from, nowMilliseconds);
     }
@@ -95,7 +95,7 @@
         }
     }
 
-    /** Stops for good without a word. */
+    /** Fails without a leave message: the member no longer receives or sends. */
     void fail() {
         failed = true;
     }
@@ -108,7 +108,7 @@
         return protocol.self().getDataCentre();
     }
 
-    /** How many members this node holds for dead. */
+    /** Returns how many members this node considers dead. */
     long deadMembers() {
         return protocol.members().stream()
                 .filter(record -> record.getState() == MemberState.DEAD)
@@ -134,7 +134,7 @@
         return versions.getOrDefault(version.getService(), 0L) >= version.getVersion();
     }
 
-    /** Changes the own record, as a start, a stop or another load does. */
+    /** Changes the record of this member, as a restart or a change of capacity does. */
     void announceCapacity(int capacity, long nowMilliseconds) {
         protocol.announceUpstream(UpstreamState.SERVING, capacity, nowMilliseconds);
     }
@@ -146,16 +146,16 @@
 
     @Override
     public boolean onConfigurationVersion(NodeId from, ConfigurationVersion version) {
-        boolean news = !hasConfiguration(version);
-        if (news) {
+        boolean newer = !hasConfiguration(version);
+        if (newer) {
             versions.put(version.getService(), version.getVersion());
         }
-        return news;
+        return newer;
     }
 
     @Override
     public void onConfigurationDigest(NodeId from, long digest, long nowMilliseconds) {
-        // Versions spread by news alone here.
+        // The simulation propagates versions by broadcast only, without anti-entropy.
     }
 
     @Override
--- a/bench/src/main/java/org/damaskmoor/bench/simulation/SimulationResult.java
+++ b/bench/src/main/java/org/damaskmoor/bench/simulation/SimulationResult.java
@@ -4,17 +4,18 @@
 import org.damaskmoor.bench.simulation.VirtualNetwork.Totals;
 
 /**
- * What one size of group cost. Immutable and thread-safe.
+ * The costs of the membership protocol at one group size. Immutable and thread-safe.
  *
- * @param size members
- * @param measuredMilliseconds virtual time of each of the two measured spans
- * @param quiet traffic without changes
- * @param churned traffic with changes at the fleet's rate for each member
- * @param processorMicroseconds processor time of all members in the quiet span
- * @param heapBytesPerMember what a node keeps for each other node
- * @param configurationMilliseconds until every member knew of a change; -1: not in time
- * @param leaveMilliseconds until every member knew of a leaving upstream; -1: not in time
- * @param failure what the failure of a whole data centre came to
+ * @param size number of members
+ * @param measuredMilliseconds virtual duration of each of the two measurements
+ * @param quiet traffic without changes of members or configuration
+ * @param churned traffic with changes at the fleet's rate, scaled by size
+ * @param processorMicroseconds processor time of all members during the quiet measurement
+ * @param heapBytesPerMember heap that a node uses for each other node
+ * @param configurationMilliseconds time until every member knew a new configuration; -1 if it timed
+ *     out
+ * @param leaveMilliseconds time until every member knew of a leaving upstream; -1 if it timed out
+ * @param failure the effects of the failure of a whole data centre
  */
 public record SimulationResult(
         int size,
@@ -27,16 +28,16 @@
         long leaveMilliseconds,
         Failure failure) {
     /**
-     * What the failure of a whole data centre came to.
+     * The effects of the failure of a whole data centre.
      *
-     * @param members members that failed
-     * @param milliseconds until every other member held all of them for dead; -1: not in time
-     * @param bytesPerSecond traffic of each other member in that time
-     * @param falselyDead most members that some member holds for dead although they run
+     * @param members number of members that failed
+     * @param milliseconds time until every survivor considered all of them dead; -1 if it timed out
+     * @param bytesPerSecond traffic of each survivor during that time
+     * @param falselyDead largest number of running members that one survivor considers dead
      */
     record Failure(int members, long milliseconds, double bytesPerSecond, long falselyDead) {}
 
-    /** One line of key=value pairs. */
+    /** Returns the result as one line of key=value pairs. */
     public String toLine() {
         double nodeSeconds = size * measuredMilliseconds / 1_000.0;
         return String.format(
--- a/bench/src/main/java/org/damaskmoor/bench/simulation/VirtualNetwork.java
+++ b/bench/src/main/java/org/damaskmoor/bench/simulation/VirtualNetwork.java
@@ -7,17 +7,17 @@
 import org.damaskmoor.schema.gossip.GossipMessage;
 
 /**
- * Carries datagrams between state machines in one process and counts them. Every datagram arrives
- * at the tick after the one it was sent at, in order.
+ * Delivers datagrams between simulated members and counts them. Each datagram arrives one tick
+ * after it is sent, in order.
  *
- * <p>Invariant: nothing is lost. Not thread-safe.
+ * <p>Invariant: no datagram to a known port is lost. Not thread-safe.
  */
 final class VirtualNetwork {
-    /** What the headers of IP and UDP add to each datagram. */
+    /** Bytes of the IP and UDP headers of each datagram. */
     private static final int HEADER_BYTES = 28;
 
     private final Map<Integer, SimulatedMember> byPort = new HashMap<>();
-    private ArrayDeque<Datagram> underWay = new ArrayDeque<>();
+    private ArrayDeque<Datagram> inTransit = new ArrayDeque<>();
     private long datagrams;
     private long bytes;
     private long paidBytes;
@@ -29,7 +29,7 @@
     }
 
     void send(SimulatedMember from, InetSocketAddress to, GossipMessage message) {
-        underWay.add(new Datagram(from, to, message));
+        inTransit.add(new Datagram(from, to, message));
         int size = message.getSerializedSize() + HEADER_BYTES;
         datagrams++;
         bytes += size;
@@ -40,8 +40,8 @@
     }
 
     void deliver(long nowMilliseconds) {
-        ArrayDeque<Datagram> arriving = underWay;
-        underWay = new ArrayDeque<>();
+        ArrayDeque<Datagram> arriving = inTransit;
+        inTransit = new ArrayDeque<>();
         for (Datagram datagram : arriving) {
             SimulatedMember receiver = byPort.get(datagram.to.getPort());
             if (receiver != null) {
@@ -54,13 +54,13 @@
         return new Totals(datagrams, bytes, paidBytes);
     }
 
-    /** Counts since the start. */
+    /** Traffic counters since the start. */
     record Totals(long datagrams, long bytes, long paidBytes) {
-        Totals minus(Totals former) {
+        Totals minus(Totals earlier) {
             return new Totals(
-                    datagrams - former.datagrams,
-                    bytes - former.bytes,
-                    paidBytes - former.paidBytes);
+                    datagrams - earlier.datagrams,
+                    bytes - earlier.bytes,
+                    paidBytes - earlier.paidBytes);
         }
     }
 }
--- a/bench/src/test/java/org/damaskmoor/bench/failure/BookingFailureTest.java
+++ b/bench/src/test/java/org/damaskmoor/bench/failure/BookingFailureTest.java
@@ -15,7 +15,7 @@
 
 @Tag("failure")
 class BookingFailureTest {
-    private static final int SLOW = 200;
+    private static final int SLOW_FACTOR = 200;
 
     private static FailureTestSite site;
     private static Place entry;
@@ -37,17 +37,19 @@
     void should_answer_unknown_when_the_target_is_killed_during_the_run() throws Exception {
         // given
         String nonce = site.nonceFor(target);
-        site.setUpstreamFaults(target, new JsonObject().with("service_time_factor", SLOW));
+        site.setUpstreamFaults(target, new JsonObject().with("service_time_factor", SLOW_FACTOR));
         CompletableFuture<CallRecord> booking =
                 CompletableFuture.supplyAsync(() -> site.book(entry, nonce));
-        FailureTestSite.await("it runs", () -> site.runsAt(target, nonce) == 1);
+        FailureTestSite.await(
+                "the upstream runs the booking", () -> site.runsAt(target, nonce) == 1);
 
         // when
         site.killNode(target);
 
         // then
         assertThat(booking.get(1, TimeUnit.MINUTES).outcome()).isEqualTo(Outcome.UNKNOWN);
-        site.setUpstreamFaults(target, new JsonObject().with("service_time_factor", 1.0 / SLOW));
+        site.setUpstreamFaults(
+                target, new JsonObject().with("service_time_factor", 1.0 / SLOW_FACTOR));
         site.site.startNode(target);
         site.awaitServing(target);
         site.book(entry, nonce);
@@ -71,14 +73,14 @@
     }
 
     @Test
-    void should_run_once_when_a_frozen_target_wakes_after_the_resend_ran_elsewhere()
+    void should_run_once_when_a_frozen_target_resumes_after_the_resend_ran_elsewhere()
             throws Exception {
         // given
         String nonce = site.nonceFor(target);
         site.children.freeze(target.nodeId());
         CallRecord first = site.book(entry, nonce);
         FailureTestSite.await(
-                "a resend is answered",
+                "a resend is answered by another target",
                 () -> site.book(entry, nonce).outcome() == Outcome.ANSWERED);
 
         // when
@@ -92,22 +94,22 @@
     }
 
     @Test
-    void should_answer_every_booking_when_open_connections_go_silent() throws Exception {
+    void should_answer_every_booking_when_open_connections_stop_delivering() throws Exception {
         // given
         site.awaitServing(target);
-        long lost = site.countLogLines(entry, "event=link-lost");
+        long lostLinks = site.countLogLines(entry, "event=link-lost");
 
         // when
         site.links.silence("bern-nord/bern-sued");
 
         // then
         FailureTestSite.await(
-                "the entry node gave the silent connection up",
+                "the entry node closed the silent connection",
                 () -> {
                     String nonce = site.nonceFor(target);
                     assertThat(site.book(entry, nonce).outcome()).isEqualTo(Outcome.ANSWERED);
                     assertThat(site.totalRuns(nonce)).isEqualTo(1);
-                    return site.countLogLines(entry, "event=link-lost") > lost;
+                    return site.countLogLines(entry, "event=link-lost") > lostLinks;
                 });
     }
 }
--- a/bench/src/test/java/org/damaskmoor/bench/failure/ConfigurationFailureTest.java
+++ b/bench/src/test/java/org/damaskmoor/bench/failure/ConfigurationFailureTest.java
@@ -41,11 +41,11 @@
     }
 
     @AfterEach
-    void heal() throws Exception {
+    void restorePlatform() throws Exception {
         site.setPlatformMode("none");
     }
 
-    /** Applies a configuration that differs from all others by the operation's id. */
+    /** Applies a configuration with a path prefix that is unique to the operation id. */
     private static long apply(Place place, long expectedVersion, String operationId)
             throws Exception {
         ServiceConfiguration configuration =
@@ -59,8 +59,8 @@
         }
     }
 
-    /** What an operator was told. */
-    private static String told(Place place, long expectedVersion, String operationId) {
+    /** Returns the outcome of an apply as seen by the operator. */
+    private static String applyOutcome(Place place, long expectedVersion, String operationId) {
         try {
             return "accepted " + apply(place, expectedVersion, operationId);
         } catch (OperatorException refused) {
@@ -71,23 +71,23 @@
     }
 
     @Test
-    void should_accept_one_change_when_two_operators_race() throws Exception {
+    void should_accept_one_change_when_two_operators_apply_concurrently() throws Exception {
         // given
         long version = site.versionAt(north, SERVICE);
 
         // when
-        List<CompletableFuture<String>> racers =
+        List<CompletableFuture<String>> concurrentApplies =
                 Stream.of(north, far)
                         .map(
                                 place ->
                                         CompletableFuture.supplyAsync(
                                                 () ->
-                                                        told(
+                                                        applyOutcome(
                                                                 place,
                                                                 version,
                                                                 "race-" + place.nodeId())))
                         .toList();
-        List<String> outcomes = racers.stream().map(CompletableFuture::join).toList();
+        List<String> outcomes = concurrentApplies.stream().map(CompletableFuture::join).toList();
 
         // then
         assertThat(outcomes).containsExactly("accepted " + (version + 1), ExitCode.CONFLICT.name());
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void should_refuse_changes_and_serve_on_when_the_platform_is_down() throws Exception {
+    void should_refuse_changes_and_keep_serving_when_the_platform_is_down() throws Exception {
         // given
         long version = site.versionAt(north, SERVICE);
         site.setPlatformMode("down");
@@ -112,7 +112,7 @@
         assertThat(site.versionAt(south, SERVICE)).isEqualTo(version);
         assertThat(site.lookUp(north).outcome()).isEqualTo(Outcome.ANSWERED);
         FailureTestSite.await(
-                "the fresh node takes callers",
+                "the restarted node serves callers",
                 () -> site.lookUp(south).outcome() == Outcome.ANSWERED);
         String nonce = site.nonceFor(north);
         assertThat(site.book(north, nonce).outcome()).isEqualTo(Outcome.REFUSED);
@@ -135,15 +135,16 @@
     }
 
     @Test
-    void should_serve_in_both_regions_when_they_lose_each_other_and_agree_after_healing()
-            throws Exception {
+    void should_serve_in_both_regions_when_partitioned_and_agree_after_healing() throws Exception {
         // given
         long version = site.versionAt(north, SERVICE);
-        long unreachable = site.countLogLines(north, "event=member-region-unreachable");
+        long unreachableEvents = site.countLogLines(north, "event=member-region-unreachable");
         site.links.cut("mittelland/oberland");
         FailureTestSite.await(
-                "the cut is noticed",
-                () -> site.countLogLines(north, "event=member-region-unreachable") > unreachable);
+                "the partition is detected",
+                () ->
+                        site.countLogLines(north, "event=member-region-unreachable")
+                                > unreachableEvents);
 
         // when
         Outcome lookUpNorth = site.lookUp(north).outcome();
--- a/bench/src/test/java/org/damaskmoor/bench/failure/FailureTestSite.java
+++ b/bench/src/test/java/org/damaskmoor/bench/failure/FailureTestSite.java
@@ -28,14 +28,14 @@
 import org.damaskmoor.schema.settings.OperatorSettings;
 
 /**
- * A small site of real processes for tests of failures: besuch-1 and besuch-2 in mittelland,
- * besuch-3 in oberland, and register-1 in mittelland as entry node.
+ * A small site of real processes for failure tests: besuch-1 and besuch-2 in region mittelland,
+ * besuch-3 in region oberland, and register-1 in mittelland as the entry node.
  *
- * <p>A test waits for states, with limits that are far from what it needs. Used by one thread, but
- * for {@link #book} and {@link #lookUp}.
+ * <p>Tests wait for states, with generous timeouts, rather than for fixed times. Confined to one
+ * thread, except for {@link #book} and {@link #lookUp}.
  */
 final class FailureTestSite implements AutoCloseable {
-    private static final long LIMIT_MILLISECONDS = 40_000;
+    private static final long TIMEOUT_MILLISECONDS = 40_000;
     private static final long POLL_MILLISECONDS = 50;
     private static final Duration CONTROL_TIMEOUT = Duration.ofSeconds(3);
 
@@ -44,7 +44,7 @@
     final LinkFaults links;
     private final Path directory;
     private final BlockingClient client = new BlockingClient(CONTROL_TIMEOUT);
-    private int nonces;
+    private int nonceCount;
 
     FailureTestSite() throws Exception {
         directory = Files.createTempDirectory("damaskmoor-failure-");
@@ -55,9 +55,9 @@
         int firstPort = PortBlocks.firstFree(Places.ports(deployment));
         site = new Site(deployment, firstPort, directory, children, client);
         site.startStandIns();
-        site.awaitStandIns(LIMIT_MILLISECONDS);
+        site.awaitStandIns(TIMEOUT_MILLISECONDS);
         site.startNodes();
-        site.awaitNodes(LIMIT_MILLISECONDS);
+        site.awaitNodes(TIMEOUT_MILLISECONDS);
         links = new LinkFaults(site.linkFile());
         var applier =
                 new OperatorServiceApplier(
@@ -81,7 +81,7 @@
         return List.of(place("besuch-1"), place("besuch-2"), place("besuch-3"));
     }
 
-    /** Waits until the entry node of its region sends bookings to the place and they are run. */
+    /** Waits until the entry node of the region gets bookings run at this place. */
     void awaitServing(Place place) throws Exception {
         Place entry = place(place.region().equals("mittelland") ? "register-1" : "besuch-3");
         await(
@@ -93,10 +93,13 @@
                 });
     }
 
-    /** A new nonce whose key has its place at one of the two targets in mittelland. */
-    String nonceFor(Place wanted) {
+    /**
+     * Returns a new nonce. For a place in mittelland, rendezvous hashing of its idempotency key
+     * prefers that place among the two targets there; for any other place, the key is arbitrary.
+     */
+    String nonceFor(Place preferred) {
         while (true) {
-            String nonce = "n" + ++nonces;
+            String nonce = "n" + ++nonceCount;
             long key = StableHash.of("key-" + nonce);
             Comparator<Place> byRank =
                     (a, b) ->
@@ -104,7 +107,7 @@
                                     StableHash.combine(key, StableHash.of(a.nodeId())),
                                     StableHash.combine(key, StableHash.of(b.nodeId())));
             Place first = Stream.of(place("besuch-1"), place("besuch-2")).max(byRank).orElseThrow();
-            if (!wanted.region().equals("mittelland") || first.equals(wanted)) {
+            if (!preferred.region().equals("mittelland") || first.equals(preferred)) {
                 return nonce;
             }
         }
@@ -130,7 +133,7 @@
         }
     }
 
-    /** How often the booking ran, by the ledgers of all upstreams. */
+    /** Returns how often the booking ran, according to the ledgers of all upstreams. */
     int totalRuns(String nonce) throws IOException {
         int runs = 0;
         for (Place place : site.places()) {
@@ -172,7 +175,7 @@
                 () -> client.get(place.controlUrl() + "/ready").status() == 200);
     }
 
-    /** How many lines of a node's log hold the text. */
+    /** Returns the number of lines in the node's log that contain the text. */
     long countLogLines(Place place, String text) throws IOException {
         try (Stream<String> lines = Files.lines(directory.resolve(place.nodeId() + ".log"))) {
             return lines.filter(line -> line.contains(text)).count();
@@ -183,7 +186,7 @@
         return OperatorClient.open(
                 OperatorSettings.newBuilder()
                         .setNode("127.0.0.1:" + place.operatorPort())
-                        .setTimeoutMilliseconds((int) LIMIT_MILLISECONDS)
+                        .setTimeoutMilliseconds((int) TIMEOUT_MILLISECONDS)
                         .setChangedBy("test")
                         .build());
     }
@@ -197,25 +200,25 @@
     void awaitVersion(String service, long version) throws Exception {
         for (Place place : site.places()) {
             await(
-                    place.nodeId() + " holds version " + version,
+                    place.nodeId() + " has version " + version,
                     () -> versionAt(place, service) == version);
         }
     }
 
-    static void await(String state, Callable<Boolean> holds) throws Exception {
-        long end = System.currentTimeMillis() + LIMIT_MILLISECONDS;
-        while (!held(holds)) {
+    static void await(String state, Callable<Boolean> condition) throws Exception {
+        long end = System.currentTimeMillis() + TIMEOUT_MILLISECONDS;
+        while (!isMet(condition)) {
             if (System.currentTimeMillis() > end) {
-                throw new AssertionError("not reached: " + state);
+                throw new AssertionError("timed out waiting until: " + state);
             }
             Thread.sleep(POLL_MILLISECONDS);
         }
     }
 
-    private static boolean held(Callable<Boolean> holds) throws Exception {
+    private static boolean isMet(Callable<Boolean> condition) throws Exception {
         try {
-            return holds.call();
-        } catch (IOException notYet) {
+            return condition.call();
+        } catch (IOException unavailable) {
             return false;
         }
     }
