--- a/bench/src/main/java/org/damaskmoor/bench/capacity/StateCosts.java
+++ b/bench/src/main/java/org/damaskmoor/bench/capacity/StateCosts.java
@@ -40,14 +40,14 @@
 
 /** Measures the memory and time per unit of each part of a node's state. Stateless. */
 final class StateCosts {
-    private static final int FEW = 100;
+    private static final int BASELINE_UNITS = 100;
     private static final int MEMBERS = 2_800;
     private static final int SERVICES = 340;
     private static final int TARGETS = 1_000;
     private static final int CALLS = 20_000;
     private static final int REFUSAL_KEYS = 2_000;
-    private static final int WARM_UP = 2_000;
-    private static final int REPETITIONS = 2_000;
+    private static final int WARM_UP_RUNS = 2_000;
+    private static final int MEASURED_RUNS = 2_000;
     private static final long MINUTE_NANOSECONDS = TimeUnit.MINUTES.toNanos(1);
 
     private StateCosts() {}
@@ -55,41 +55,43 @@
     static String directory() {
         List<MemberRecord> members = members(MEMBERS);
         MemberDirectory directory = new MemberDirectory();
-        double microseconds = microseconds(() -> directory.publish(members));
+        double meanMicroseconds = meanMicroseconds(() -> directory.publish(members));
         double bytes =
                 HeapMeter.bytesPerUnit(
-                        FEW,
+                        BASELINE_UNITS,
                         MEMBERS,
                         units -> {
                             MemberDirectory measured = new MemberDirectory();
                             measured.publish(members(units));
                             return measured;
                         });
-        return format("directory", MEMBERS, bytes, "publish_us", microseconds);
+        return format("directory", MEMBERS, bytes, "publish_us", meanMicroseconds);
     }
 
     static String configuration() {
-        double bytes = HeapMeter.bytesPerUnit(FEW, SERVICES, StateCosts::filledConfiguration);
+        double bytes =
+                HeapMeter.bytesPerUnit(BASELINE_UNITS, SERVICES, StateCosts::filledConfiguration);
         List<VersionedConfiguration> all = configurations(SERVICES);
-        double microseconds = microseconds(() -> ServiceMatcher.of(all));
-        return format("service", SERVICES, bytes, "matcher_us", microseconds);
+        double meanMicroseconds = meanMicroseconds(() -> ServiceMatcher.of(all));
+        return format("service", SERVICES, bytes, "matcher_us", meanMicroseconds);
     }
 
     static String router() {
-        double bytes = HeapMeter.bytesPerUnit(FEW, TARGETS, StateCosts::filledRouter);
+        double bytes = HeapMeter.bytesPerUnit(BASELINE_UNITS, TARGETS, StateCosts::filledRouter);
         Router router = filledRouter(TARGETS);
         RoutingRequest request = new RoutingRequest(false, TimeUnit.SECONDS.toNanos(1));
-        double microseconds = microseconds(() -> router.choose(request, Set.of(), 1));
-        return format("target", TARGETS, bytes, "choice_us", microseconds);
+        double meanMicroseconds = meanMicroseconds(() -> router.choose(request, Set.of(), 1));
+        return format("target", TARGETS, bytes, "choice_us", meanMicroseconds);
     }
 
     static String ledger() {
-        double bytes = HeapMeter.bytesPerUnit(FEW, CALLS, StateCosts::filledLedger);
+        double bytes = HeapMeter.bytesPerUnit(BASELINE_UNITS, CALLS, StateCosts::filledLedger);
         return format("remembered_call", CALLS, bytes, "answer_bytes", 0);
     }
 
     static String refusals() {
-        double bytes = HeapMeter.bytesPerUnit(FEW, REFUSAL_KEYS, StateCosts::filledReplicator);
+        double bytes =
+                HeapMeter.bytesPerUnit(BASELINE_UNITS, REFUSAL_KEYS, StateCosts::filledReplicator);
         return format("refusal_key", REFUSAL_KEYS, bytes, "keys_per_node_most", 4_096);
     }
 
@@ -105,15 +107,16 @@
                 value);
     }
 
-    private static double microseconds(Runnable task) {
-        for (int i = 0; i < WARM_UP; i++) {
+    /** Returns the mean time of a task after a warm-up. */
+    private static double meanMicroseconds(Runnable task) {
+        for (int i = 0; i < WARM_UP_RUNS; i++) {
             task.run();
         }
         long start = System.nanoTime();
-        for (int i = 0; i < REPETITIONS; i++) {
+        for (int i = 0; i < MEASURED_RUNS; i++) {
             task.run();
         }
-        return (System.nanoTime() - start) / 1e3 / REPETITIONS;
+        return (System.nanoTime() - start) / 1e3 / MEASURED_RUNS;
     }
 
     private static List<MemberRecord> members(int count) {
@@ -217,10 +220,10 @@
         return retained;
     }
 
-    private static Refusal refusal(int number) {
+    private static Refusal refusal(int index) {
         return new Refusal(
-                new ServiceName("service-" + number % SERVICES),
-                new CallerName("caller-" + number),
+                new ServiceName("service-" + index % SERVICES),
+                new CallerName("caller-" + index),
                 RefusalReason.QUEUE_FULL,
                 1,
                 1);
--- a/bench/src/main/java/org/damaskmoor/bench/demo/ChildProcesses.java
+++ b/bench/src/main/java/org/damaskmoor/bench/demo/ChildProcesses.java
@@ -59,7 +59,7 @@
     }
 
     /** Returns the names of the processes that have exited. */
-    synchronized List<String> ended() {
+    synchronized List<String> exited() {
         return processes.keySet().stream().filter(name -> !alive(name)).toList();
     }
 
--- a/bench/src/main/java/org/damaskmoor/bench/demo/Site.java
+++ b/bench/src/main/java/org/damaskmoor/bench/demo/Site.java
@@ -145,7 +145,7 @@
     }
 
     private void checkNotFailed(String url, long deadlineMilliseconds) throws IOException {
-        List<String> exited = children.ended();
+        List<String> exited = children.exited();
         if (!exited.isEmpty()) {
             throw new IOException(
                     "processes exited during start: " + exited + "; see the logs in " + directory);
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/ExperimentSite.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/ExperimentSite.java
@@ -157,9 +157,9 @@
         long served = 0;
         long heldNanoseconds = 0;
         for (int i = 0; i < upstreams.size(); i++) {
-            JsonObject counts = json(vms.get(i).upstreamUrl() + "/stand-in/counters");
-            served += (long) counts.number("served", 0);
-            heldNanoseconds += (long) counts.number("held_nanoseconds", 0);
+            JsonObject standInCounters = json(vms.get(i).upstreamUrl() + "/stand-in/counters");
+            served += (long) standInCounters.number("served", 0);
+            heldNanoseconds += (long) standInCounters.number("held_nanoseconds", 0);
         }
         long measuringBytes = 0;
         long paidLinkBytes = 0;
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/FieldReader.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/FieldReader.java
@@ -98,7 +98,7 @@
         return object;
     }
 
-    /** Adds a problem for each field that no method of this reader was called for. */
+    /** Adds a problem for each field that was not read. */
     void rejectUnknownFields() {
         object.names().stream()
                 .filter(name -> !knownNames.contains(name))
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/PolicyRun.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/PolicyRun.java
@@ -38,13 +38,13 @@
         try (ExperimentSite site = new ExperimentSite(scenario, seed)) {
             site.start(policy, cold ? scenario.fault().upstreams() : 0);
             Thread.sleep(SETTLING_MILLISECONDS);
-            load(site, "warm", WARM_UP_SECONDS, new ArrayList<>());
+            sendLoad(site, "warm", WARM_UP_SECONDS, new ArrayList<>());
             SiteCounters before = site.counters();
             List<CallRecord> records;
             List<CallRecord> inTime = new ArrayList<>();
             try (FaultInjector faults = new FaultInjector(scenario.fault(), site, seed)) {
                 faults.start();
-                records = load(site, "load", seconds, inTime);
+                records = sendLoad(site, "load", seconds, inTime);
             }
             return result(policy, records, inTime, site.counters().since(before));
         }
@@ -68,7 +68,7 @@
     }
 
     /** Sends a schedule of calls; adds the calls that end before the schedule does to the list. */
-    private List<CallRecord> load(
+    private List<CallRecord> sendLoad(
             ExperimentSite site, String stage, double durationSeconds, List<CallRecord> inTime)
             throws InterruptedException {
         Schedule schedule =
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/Scenario.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/Scenario.java
@@ -58,7 +58,7 @@
     /**
      * A fault and its extent. Immutable.
      *
-     * @param upstreams number of upstreams that are affected
+     * @param upstreams number of upstreams that are affected at once
      * @param factor multiplier of the service time
      * @param spellMilliseconds how long the fault lasts each time
      * @param pauseMilliseconds mean time until the fault recurs
--- a/bench/src/main/java/org/damaskmoor/bench/simulation/MembershipSimulation.java
+++ b/bench/src/main/java/org/damaskmoor/bench/simulation/MembershipSimulation.java
@@ -26,7 +26,7 @@
     private static final long DAY_MILLISECONDS = 86_400_000;
     private static final int RECORDS_PER_PAGE = 400;
 
-    /** Members of the larger fleet; the simulated churn is scaled by size from this fleet's. */
+    /** Members of the larger fleet, which the daily changes below refer to. */
     private static final int FLEET_SIZE = 2_800;
 
     private static final int MEMBER_CHANGES_PER_DAY = 4 * 305;
