--- a/bench/src/main/java/org/damaskmoor/bench/capacity/StateSlopes.java
+++ b/bench/src/main/java/org/damaskmoor/bench/capacity/StateCosts.java
@@ -38,62 +38,64 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 import org.damaskmoor.schema.mesh.UpstreamState;
 
-/** The slopes of a node's state: bytes and time for one more unit of each. Stateless. */
-final class StateSlopes {
-    private static final int FEW = 100;
+/** Measures the memory and time per unit of each part of a node's state. Stateless. */
+final class StateCosts {
+    private static final int BASELINE_UNITS = 100;
     private static final int MEMBERS = 2_800;
     private static final int SERVICES = 340;
     private static final int TARGETS = 1_000;
     private static final int CALLS = 20_000;
     private static final int REFUSAL_KEYS = 2_000;
-    private static final int WARM_UP = 2_000;
-    private static final int REPETITIONS = 2_000;
+    private static final int WARM_UP_RUNS = 2_000;
+    private static final int MEASURED_RUNS = 2_000;
     private static final long MINUTE_NANOSECONDS = TimeUnit.MINUTES.toNanos(1);
 
-    private StateSlopes() {}
+    private StateCosts() {}
 
     static String directory() {
         List<MemberRecord> members = members(MEMBERS);
         MemberDirectory directory = new MemberDirectory();
-        double microseconds = microseconds(() -> directory.publish(members));
+        double meanMicroseconds = meanMicroseconds(() -> directory.publish(members));
         double bytes =
                 HeapMeter.bytesPerUnit(
-                        FEW,
+                        BASELINE_UNITS,
                         MEMBERS,
                         units -> {
-                            MemberDirectory made = new MemberDirectory();
-                            made.publish(members(units));
-                            return made;
+                            MemberDirectory measured = new MemberDirectory();
+                            measured.publish(members(units));
+                            return measured;
                         });
-        return line("directory", MEMBERS, bytes, "publish_us", microseconds);
+        return format("directory", MEMBERS, bytes, "publish_us", meanMicroseconds);
     }
 
     static String configuration() {
-        double bytes = HeapMeter.bytesPerUnit(FEW, SERVICES, StateSlopes::configured);
+        double bytes =
+                HeapMeter.bytesPerUnit(BASELINE_UNITS, SERVICES, StateCosts::filledConfiguration);
         List<VersionedConfiguration> all = configurations(SERVICES);
-        double microseconds = microseconds(() -> ServiceMatcher.of(all));
-        return line("service", SERVICES, bytes, "matcher_us", microseconds);
+        double meanMicroseconds = meanMicroseconds(() -> ServiceMatcher.of(all));
+        return format("service", SERVICES, bytes, "matcher_us", meanMicroseconds);
     }
 
     static String router() {
-        double bytes = HeapMeter.bytesPerUnit(FEW, TARGETS, StateSlopes::routed);
-        Router router = routed(TARGETS);
-        RoutingRequest view = new RoutingRequest(false, TimeUnit.SECONDS.toNanos(1));
-        double microseconds = microseconds(() -> router.choose(view, Set.of(), 1));
-        return line("target", TARGETS, bytes, "choice_us", microseconds);
+        double bytes = HeapMeter.bytesPerUnit(BASELINE_UNITS, TARGETS, StateCosts::filledRouter);
+        Router router = filledRouter(TARGETS);
+        RoutingRequest request = new RoutingRequest(false, TimeUnit.SECONDS.toNanos(1));
+        double meanMicroseconds = meanMicroseconds(() -> router.choose(request, Set.of(), 1));
+        return format("target", TARGETS, bytes, "choice_us", meanMicroseconds);
     }
 
     static String ledger() {
-        double bytes = HeapMeter.bytesPerUnit(FEW, CALLS, StateSlopes::remembered);
-        return line("remembered_call", CALLS, bytes, "answer_bytes", 0);
+        double bytes = HeapMeter.bytesPerUnit(BASELINE_UNITS, CALLS, StateCosts::filledLedger);
+        return format("remembered_call", CALLS, bytes, "answer_bytes", 0);
     }
 
     static String refusals() {
-        double bytes = HeapMeter.bytesPerUnit(FEW, REFUSAL_KEYS, StateSlopes::refused);
-        return line("refusal_key", REFUSAL_KEYS, bytes, "keys_per_node_most", 4_096);
+        double bytes =
+                HeapMeter.bytesPerUnit(BASELINE_UNITS, REFUSAL_KEYS, StateCosts::filledReplicator);
+        return format("refusal_key", REFUSAL_KEYS, bytes, "keys_per_node_most", 4_096);
     }
 
-    private static String line(
+    private static String format(
             String unit, int count, double bytes, String timeName, double value) {
         return String.format(
                 Locale.ROOT,
@@ -105,15 +107,16 @@
                 value);
     }
 
-    private static double microseconds(Runnable task) {
-        for (int i = 0; i < WARM_UP; i++) {
+    /** Returns the mean time of a task after a warm-up. */
+    private static double meanMicroseconds(Runnable task) {
+        for (int i = 0; i < WARM_UP_RUNS; i++) {
             task.run();
         }
         long start = System.nanoTime();
-        for (int i = 0; i < REPETITIONS; i++) {
+        for (int i = 0; i < MEASURED_RUNS; i++) {
             task.run();
         }
-        return (System.nanoTime() - start) / 1e3 / REPETITIONS;
+        return (System.nanoTime() - start) / 1e3 / MEASURED_RUNS;
     }
 
     private static List<MemberRecord> members(int count) {
@@ -137,7 +140,7 @@
         return members;
     }
 
-    private static Object configured(int services) {
+    private static Object filledConfiguration(int services) {
         ConfigurationStore store = new ConfigurationStore(accepted -> {});
         configurations(services).forEach(store::accept);
         return List.of(store, ServiceMatcher.of(store.all()));
@@ -165,7 +168,7 @@
         return configurations;
     }
 
-    private static Router routed(int targets) {
+    private static Router filledRouter(int targets) {
         Router router =
                 Router.create(
                         new RegionName("region-0"),
@@ -187,7 +190,7 @@
         return router;
     }
 
-    private static Object remembered(int calls) {
+    private static Object filledLedger(int calls) {
         Incarnation own = new Incarnation(1);
         TargetLedger ledger =
                 TargetLedger.bounded(own, new LedgerLimits(2 * CALLS, 8_000_000, 4_096));
@@ -201,7 +204,7 @@
         return ledger;
     }
 
-    private static Object refused(int keys) {
+    private static Object filledReplicator(int keys) {
         RefusalReplicator writer =
                 new RefusalReplicator(
                         new NodeId("node-1"),
@@ -210,17 +213,17 @@
                         List::of,
                         (peer, batch) -> {},
                         new SplittableRandom(1));
-        List<Object> kept = new ArrayList<>(List.of(writer));
+        List<Object> retained = new ArrayList<>(List.of(writer));
         for (int i = 0; i < keys; i++) {
-            kept.add(writer.record(refusal(i), i));
+            retained.add(writer.record(refusal(i), i));
         }
-        return kept;
+        return retained;
     }
 
-    private static Refusal refusal(int number) {
+    private static Refusal refusal(int index) {
         return new Refusal(
-                new ServiceName("service-" + number % SERVICES),
-                new CallerName("caller-" + number),
+                new ServiceName("service-" + index % SERVICES),
+                new CallerName("caller-" + index),
                 RefusalReason.QUEUE_FULL,
                 1,
                 1);
--- a/bench/src/main/java/org/damaskmoor/bench/experiment/ResultTable.java
+++ b/bench/src/main/java/org/damaskmoor/bench/experiment/ResultTable.java
@@ -4,12 +4,12 @@
 import java.util.Locale;
 import org.damaskmoor.bench.http.JsonObject;
 
-/** Writes results as a table for people and as JSON lines. Stateless and safe for all threads. */
+/** Formats results as a text table and as JSON lines. Stateless and thread-safe. */
 final class ResultTable {
     private ResultTable() {}
 
-    /** Returns the table of one scenario. */
-    static String text(List<PolicyResult> results) {
+    /** Returns the results of one scenario as a table. */
+    static String formatTable(List<PolicyResult> results) {
         StringBuilder text = new StringBuilder();
         text.append(
                 String.format(
@@ -30,17 +30,18 @@
                         "extra",
                         "B/s/node",
                         "loadavg"));
-        results.forEach(result -> text.append(row(result)));
-        results.forEach(result -> text.append(reasons(result)));
+        results.forEach(result -> text.append(formatRow(result)));
+        results.forEach(result -> text.append(formatFailures(result)));
         return text.toString();
     }
 
-    private static String reasons(PolicyResult result) {
+    private static String formatFailures(PolicyResult result) {
         return String.format(
-                "without_answer policy=%s %s%n", result.policy().label(), result.tally().reasons());
+                "without_answer policy=%s %s%n",
+                result.policy().label(), result.statistics().failuresByReason());
     }
 
-    private static String row(PolicyResult result) {
+    private static String formatRow(PolicyResult result) {
         return String.format(
                 Locale.ROOT,
                 "%-18s %-18s %8.2f %8.2f %8.2f %9.2f %9.2f"
@@ -52,18 +53,18 @@
                 result.milliseconds(99.9),
                 result.lookupMilliseconds(99.9),
                 result.bookingMilliseconds(99),
-                result.tally().answered(),
-                result.tally().refused(),
-                result.tally().failed(),
-                result.tally().unknown(),
+                result.statistics().answered(),
+                result.statistics().refused(),
+                result.statistics().failed(),
+                result.statistics().unknown(),
                 result.goodput(),
-                result.furtherAttempts(),
+                result.retriesAndHedges(),
                 result.measuringBytesPerSecond(),
                 result.loadAverage());
     }
 
-    /** Returns the two users' views of each result: their own measures, the weightiest first. */
-    static String views(List<PolicyResult> results) {
+    /** Returns the figures that each of the two users rates, the most important first. */
+    static String formatUserViews(List<PolicyResult> results) {
         StringBuilder text = new StringBuilder();
         for (PolicyResult result : results) {
             text.append(
@@ -92,25 +93,25 @@
         return text.toString();
     }
 
-    /** Returns one JSON object of all figures. */
-    static String json(PolicyResult result) {
+    /** Returns all figures of a result as one JSON object. */
+    static String toJson(PolicyResult result) {
         return new JsonObject()
                 .with("scenario", result.scenario())
                 .with("policy", result.policy().label())
                 .with("seconds", result.seconds())
-                .with("sent", result.tally().sent())
+                .with("sent", result.statistics().sent())
                 .with("p50_ms", result.milliseconds(50))
                 .with("p99_ms", result.milliseconds(99))
                 .with("p999_ms", result.milliseconds(99.9))
                 .with("lookup_p999_ms", result.lookupMilliseconds(99.9))
                 .with("booking_p99_ms", result.bookingMilliseconds(99))
-                .with("answered", result.tally().answered())
-                .with("refused", result.tally().refused())
-                .with("failed", result.tally().failed())
-                .with("unknown", result.tally().unknown())
+                .with("answered", result.statistics().answered())
+                .with("refused", result.statistics().refused())
+                .with("failed", result.statistics().failed())
+                .with("unknown", result.statistics().unknown())
                 .with("goodput", result.goodput())
                 .with("weighted_answers_per_second", result.weightedAnswersPerSecond())
-                .with("further_attempts", result.furtherAttempts())
+                .with("further_attempts", result.retriesAndHedges())
                 .with("measuring_bytes_per_second_per_node", result.measuringBytesPerSecond())
                 .with("paid_link_bytes_per_second", result.paidLinkBytesPerSecond())
                 .with("load_average", result.loadAverage())
--- a/bench/src/main/java/org/damaskmoor/bench/slope/SlopeMember.java
+++ b/bench/src/main/java/org/damaskmoor/bench/simulation/SimulatedMember.java
@@ -1,4 +1,4 @@
-package org.damaskmoor.bench.slope;
+package org.damaskmoor.bench.simulation;
 
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -17,8 +17,8 @@
 import org.damaskmoor.schema.gossip.QuarantineRecord;
 import org.damaskmoor.schema.mesh.UpstreamState;
 
-/** One node's membership protocol on the virtual network. Not thread-safe. */
-final class SlopeMember implements GossipExtension {
+/** One node of the simulation: its membership protocol on the virtual network. Not thread-safe. */
+final class SimulatedMember implements GossipExtension {
     private static final int FIRST_PORT = 10_000;
     private static final int SERVICES = 340;
     private static final int DATA_CENTRES = 15;
@@ -29,7 +29,8 @@
     private final Map<String, Long> versions = new HashMap<>();
     private boolean failed;
 
-    SlopeMember(int number, VirtualNetwork network, RandomGenerator random, long nowMilliseconds) {
+    SimulatedMember(
+            int number, VirtualNetwork network, RandomGenerator random, long nowMilliseconds) {
         this.number = number;
         this.protocol =
                 new MembershipProtocol(
@@ -77,8 +78,8 @@
         protocol.join(peers, nowMilliseconds);
     }
 
-    /** Takes in members as a finished join does, so that large groups need not join one by one. */
-    void learn(GossipMessage page, InetSocketAddress from, long nowMilliseconds) {
+    /** Adds members like a completed join, so that large groups need not join one by one. */
+    void receivePage(GossipMessage page, InetSocketAddress from, long nowMilliseconds) {
         protocol.receive(page, from, nowMilliseconds);
     }
 
@@ -94,7 +95,7 @@
         }
     }
 
-    /** Stops for good without a word. */
+    /** Fails without a leave message: the member no longer receives or sends. */
     void fail() {
         failed = true;
     }
@@ -107,7 +108,7 @@
         return protocol.self().getDataCentre();
     }
 
-    /** How many members this node holds for dead. */
+    /** Returns how many members this node considers dead. */
     long deadMembers() {
         return protocol.members().stream()
                 .filter(record -> record.getState() == MemberState.DEAD)
@@ -118,7 +119,7 @@
         protocol.announceUpstream(UpstreamState.LEAVING, 10, nowMilliseconds);
     }
 
-    void spread(ConfigurationVersion version) {
+    void broadcastConfiguration(ConfigurationVersion version) {
         versions.put(version.getService(), version.getVersion());
         protocol.broadcast(version);
     }
@@ -129,12 +130,12 @@
                 .orElse(false);
     }
 
-    boolean knows(ConfigurationVersion version) {
+    boolean hasConfiguration(ConfigurationVersion version) {
         return versions.getOrDefault(version.getService(), 0L) >= version.getVersion();
     }
 
-    /** Changes the own record, as a start, a stop or another load does. */
-    void change(int capacity, long nowMilliseconds) {
+    /** Changes the record of this member, as a restart or a change of capacity does. */
+    void announceCapacity(int capacity, long nowMilliseconds) {
         protocol.announceUpstream(UpstreamState.SERVING, capacity, nowMilliseconds);
     }
 
@@ -145,16 +146,16 @@
 
     @Override
     public boolean onConfigurationVersion(NodeId from, ConfigurationVersion version) {
-        boolean news = !knows(version);
-        if (news) {
+        boolean newer = !hasConfiguration(version);
+        if (newer) {
             versions.put(version.getService(), version.getVersion());
         }
-        return news;
+        return newer;
     }
 
     @Override
     public void onConfigurationDigest(NodeId from, long digest, long nowMilliseconds) {
-        // Versions spread by news alone here.
+        // The simulation propagates versions by broadcast only, without anti-entropy.
     }
 
     @Override
