--- a/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationChanger.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationChanger.java
@@ -119,9 +119,7 @@
             if (answer.value) {
                 return done(new Accepted(next.getVersion(), next));
             }
-            return attempts++ < MAXIMUM_ATTEMPTS
-                    ? start()
-                    : giveUp("Other changes to the row came first on every attempt.");
+            return attempts++ < MAXIMUM_ATTEMPTS ? start() : giveUp("The row kept changing.");
         }
 
         /** Reads the row again: its operation id, or a newer version, determines the outcome. */
--- a/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationValidator.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationValidator.java
@@ -87,7 +87,7 @@
             String field = "hosts[" + i + "]";
             String host = HostNames.normalise(service.getHosts(i));
             faults.check(HOST.matcher(host).matches(), field, "must be a host name without a port");
-            faults.check(seen.add(host), field, "occurs more than once: " + host);
+            faults.check(seen.add(host), field, "stands twice: " + host);
         }
     }
 
@@ -97,7 +97,7 @@
             String field = "path_prefixes[" + i + "]";
             String prefix = service.getPathPrefixes(i);
             validatePrefix(prefix, field, faults);
-            faults.check(seen.add(prefix), field, "occurs more than once: " + prefix);
+            faults.check(seen.add(prefix), field, "stands twice: " + prefix);
         }
     }
 
@@ -110,7 +110,7 @@
                         && !prefix.contains("?")
                         && !prefix.contains("#"),
                 field,
-                "must begin with / and contain only visible ASCII characters except ? and #");
+                "must begin with / and hold neither blanks, ? nor #");
     }
 
     private static void validateRule(
@@ -119,7 +119,7 @@
         faults.check(
                 rule.getName().isEmpty() || names.add(rule.getName()),
                 path + "name",
-                "occurs more than once: " + rule.getName());
+                "stands twice: " + rule.getName());
         for (int i = 0; i < rule.getMethodsCount(); i++) {
             faults.check(
                     HttpMethods.isKnown(rule.getMethods(i)),
@@ -178,7 +178,7 @@
             faults.check(
                     seen.add(weight.getCaller()),
                     field + "caller",
-                    "occurs more than once: " + weight.getCaller());
+                    "stands twice: " + weight.getCaller());
             faults.check(weight.getWeight() != 0, field + "weight", "must be at least 1");
             faults.atMost(weight.getWeight(), MAXIMUM_WEIGHT, field + "weight");
         }
@@ -211,7 +211,7 @@
                     objective.getLatencyMilliseconds(),
                     MAXIMUM_TIMEOUT_MILLISECONDS,
                     field + "latency_milliseconds");
-            faults.check(seen.add(objective), "objectives[" + i + "]", "occurs more than once");
+            faults.check(seen.add(objective), "objectives[" + i + "]", "stands twice");
         }
     }
 
--- a/node/src/main/java/org/damaskmoor/node/internal/operator/ChangeResponses.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/operator/ChangeResponses.java
@@ -47,7 +47,7 @@
         if (outcome instanceof Unknown unknown) {
             throw withOutcome(
                     Status.UNKNOWN.withDescription(
-                            "The platform's table service did not answer the write, so the"
+                            "The platform's table gave no answer after the write was sent, so the"
                                     + " change may be in force. Repeat it with the same operation"
                                     + " id: "
                                     + unknown.operationId()),
--- a/node/src/main/java/org/damaskmoor/node/internal/operator/DrainHandler.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/operator/DrainHandler.java
@@ -34,9 +34,7 @@
             logger.atInfo().log("event=drain-started node=%s step=operator-call", self);
             drain.run();
             return CompletableFuture.completedFuture(
-                    response(
-                            true,
-                            "The upstream accepts no new requests and finishes those in flight."));
+                    response(true, "It takes no new work and finishes what is in flight."));
         }
         MemberRecord member =
                 node.isEmpty()
--- a/node/src/main/java/org/damaskmoor/node/internal/operator/ExplainHandler.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/operator/ExplainHandler.java
@@ -104,7 +104,7 @@
     private static String decision(
             RequestExplanation explained, List<CandidateEstimate> candidates, String caller) {
         if (!explained.allowed()) {
-            return "Refused as not-allowed: the rule allows "
+            return "Refused as not-allowed: the rule lets in "
                     + String.join(
                             ", ", explained.rule().allowedCallers().stream().sorted().toList())
                     + ", not "
@@ -114,22 +114,20 @@
         long near = candidates.stream().filter(weight -> isOpen(weight, false)).count();
         long far = candidates.stream().filter(weight -> isOpen(weight, true)).count();
         if (near + far == 0) {
-            return "Refused: no upstream of the service accepts new requests.";
+            return "Refused: no upstream of the service takes new work.";
         }
         if (near == 0) {
-            return "Routed over the paid link, because no upstream in this region accepts new"
-                    + " requests;"
+            return "Goes over the paid link, because no upstream in this region takes new work;"
                     + " upstreams that do in other regions: "
                     + far
                     + ".";
         }
         String alsoFar =
                 explained.regionHeadroomGone()
-                        ? "; this region is full, so upstreams over the paid link are used too: "
+                        ? "; as this region is full, also over the paid link, upstreams there: "
                                 + far
                         : "";
-        return "Routed to the cheapest of a few sampled upstreams; those in this region that accept"
-                + " new requests: "
+        return "Goes to the cheapest of a few sampled; upstreams here that take new work: "
                 + near
                 + alsoFar
                 + ".";
--- a/operator/src/test/java/org/damaskmoor/operator/OperatorCliTest.java
+++ b/operator/src/test/java/org/damaskmoor/operator/OperatorCliTest.java
@@ -147,7 +147,7 @@
 
         // then
         String text = output.toString(StandardCharsets.UTF_8);
-        assertThat(text).contains("the rule allows register, not resident");
+        assertThat(text).contains("the rule lets in register, not resident");
         assertThat(text).containsMatch("besuch-1 +local +2\\.50");
     }
 
--- a/relay/src/main/java/org/damaskmoor/relay/internal/caller/CallerConnection.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/caller/CallerConnection.java
@@ -134,10 +134,7 @@
         String id = request.headers().get(HeaderNames.REQUEST_ID, "");
         String host = request.headers().get(HttpHeaderNames.HOST, "");
         if (id.isEmpty() || host.isEmpty()) {
-            reply(
-                    CallerReply.ofText(
-                            BAD_REQUEST, "The request must have a Host header and a request id."),
-                    id);
+            reply(CallerReply.ofText(BAD_REQUEST, "The request must have a host and an id."), id);
             return;
         }
         CallerRequest callerRequest =
@@ -220,10 +217,7 @@
         closing = true;
         server.countMalformed(status);
         FullHttpResponse response =
-                response(
-                        CallerReply.ofText(
-                                status,
-                                "The request was rejected: malformed, too large or too slow."));
+                response(CallerReply.ofText(status, "The request was not read."));
         response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
     }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/control/ControlHttpServer.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/control/ControlHttpServer.java
@@ -65,7 +65,7 @@
 
         /** The answer for an unknown path. */
         public static Answer notFound() {
-            return text(NOT_FOUND, "Not found.\n");
+            return text(NOT_FOUND, "There is nothing here.\n");
         }
     }
 
--- a/relay/src/main/java/org/damaskmoor/relay/internal/entry/EntryRequestHandler.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/entry/EntryRequestHandler.java
@@ -117,7 +117,7 @@
                     .with("path", request.path())
                     .with("version", routes.version())
                     .write();
-            reply.accept(CallerReply.ofText(NOT_FOUND, "No route matches this host and path."));
+            reply.accept(CallerReply.ofText(NOT_FOUND, "No route leads to this host and path."));
             return () -> {};
         }
         if (isQuarantined(request)) {
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetCallHandler.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetCallHandler.java
@@ -178,7 +178,7 @@
                     replySender.sendRefusal(received, RefusalReason.DEADLINE_PASSED, 0);
             case SEALED_ALREADY ->
                     replySender.sendRefusal(received, RefusalReason.SEALED_AFTER_SILENCE, 0);
-            default -> replySender.sendFailure(received, "the call was received twice");
+            default -> replySender.sendFailure(received, "the call came twice");
         }
     }
 
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetReplySender.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetReplySender.java
@@ -115,7 +115,7 @@
                 ForwardedFailure.newBuilder()
                         .setSequence(seal.getSequence())
                         .setAttempt(seal.getAttempt())
-                        .setDetail("the outcome is no longer known")
+                        .setDetail("the outcome is not known any more")
                         .build());
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/UpstreamConnection.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/UpstreamConnection.java
@@ -119,7 +119,7 @@
 
     private void onMessage(HttpObject message) {
         if (message.decoderResult().isFailure()) {
-            end(new UpstreamOutcome.Failed("the answer is not valid HTTP"));
+            end(new UpstreamOutcome.Failed("the answer can't be read"));
             return;
         }
         if (message instanceof HttpResponse response) {
