--- a/relay/src/main/java/org/damaskmoor/relay/internal/LocalLink.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/LocalLink.java
@@ -61,7 +61,7 @@
     }
 
     @Override
-    public void send(FleetNews news) {
+    public void send(FleetNews update) {
         // This node needs no messages about what it already knows.
     }
 
--- a/relay/src/main/java/org/damaskmoor/relay/internal/NodeIncomingLinkHandler.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/NodeIncomingLinkHandler.java
@@ -22,21 +22,21 @@
 final class NodeIncomingLinkHandler implements IncomingLinkHandler {
     private final TargetCallHandler target;
     private final Supplier<LinkHello> hello;
-    private final Function<FleetRequest, FleetNews> fleetNews;
-    private final Consumer<FleetNews> news;
-    private final Consumer<ReaderSign> heartbeats;
+    private final Function<FleetRequest, FleetNews> fleetNewsFactory;
+    private final Consumer<FleetNews> fleetNewsConsumer;
+    private final Consumer<ReaderSign> heartbeatConsumer;
 
     NodeIncomingLinkHandler(
             TargetCallHandler target,
             Supplier<LinkHello> hello,
-            Function<FleetRequest, FleetNews> fleetNews,
-            Consumer<FleetNews> news,
-            Consumer<ReaderSign> heartbeats) {
+            Function<FleetRequest, FleetNews> fleetNewsFactory,
+            Consumer<FleetNews> fleetNewsConsumer,
+            Consumer<ReaderSign> heartbeatConsumer) {
         this.target = target;
         this.hello = hello;
-        this.fleetNews = fleetNews;
-        this.news = news;
-        this.heartbeats = heartbeats;
+        this.fleetNewsFactory = fleetNewsFactory;
+        this.fleetNewsConsumer = fleetNewsConsumer;
+        this.heartbeatConsumer = heartbeatConsumer;
     }
 
     @Override
@@ -66,16 +66,16 @@
 
     @Override
     public FleetNews createFleetNews(FleetRequest request) {
-        return fleetNews.apply(request);
+        return fleetNewsFactory.apply(request);
     }
 
     @Override
     public void onFleetNews(FleetNews received) {
-        news.accept(received);
+        fleetNewsConsumer.accept(received);
     }
 
     @Override
     public void onReaderSign(ReaderSign sign) {
-        heartbeats.accept(sign);
+        heartbeatConsumer.accept(sign);
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/NodeLinkListener.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/NodeLinkListener.java
@@ -19,15 +19,15 @@
 final class NodeLinkListener implements LinkListener {
     private final Supplier<EntryRequestHandler> entry;
     private final Supplier<FleetDirectory> fleet;
-    private final Consumer<FleetNews> news;
+    private final Consumer<FleetNews> fleetNewsConsumer;
 
     NodeLinkListener(
             Supplier<EntryRequestHandler> entry,
             Supplier<FleetDirectory> fleet,
-            Consumer<FleetNews> news) {
+            Consumer<FleetNews> fleetNewsConsumer) {
         this.entry = entry;
         this.fleet = fleet;
-        this.news = news;
+        this.fleetNewsConsumer = fleetNewsConsumer;
     }
 
     @Override
@@ -39,7 +39,7 @@
     public void onHello(NodeId target, LinkHello hello) {
         fleet.get().onHello(target, hello);
         if (hello.hasMember()) {
-            news.accept(FleetNews.newBuilder().addMembers(hello.getMember()).build());
+            fleetNewsConsumer.accept(FleetNews.newBuilder().addMembers(hello.getMember()).build());
         }
     }
 
@@ -55,6 +55,6 @@
 
     @Override
     public void onFleetNews(FleetNews received) {
-        news.accept(received);
+        fleetNewsConsumer.accept(received);
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/PeerSync.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/PeerSync.java
@@ -22,7 +22,7 @@
  */
 final class PeerSync {
     /** Interval between requests: a change must be in force within a second or two. */
-    private static final long PERIOD_MILLISECONDS = 600;
+    private static final long REQUEST_INTERVAL_MILLISECONDS = 600;
 
     /** Peers asked each time: two, so that one may itself be cut off. */
     private static final int PEERS_PER_REQUEST = 2;
@@ -57,10 +57,10 @@
             String host = colon < 0 ? seed : seed.substring(0, colon);
             seeds.add(links.apply(new InetSocketAddress(host, linkPort)));
         }
-        requestNews();
+        requestUpdates();
     }
 
-    private void requestNews() {
+    private void requestUpdates() {
         if (storeLost.getAsBoolean()) {
             FleetRequest request =
                     FleetRequest.newBuilder()
@@ -71,7 +71,7 @@
                 links.remove(random.nextInt(links.size())).send(request);
             }
         }
-        timers.schedule(PERIOD_MILLISECONDS, this::requestNews);
+        timers.schedule(REQUEST_INTERVAL_MILLISECONDS, this::requestUpdates);
     }
 
     private List<CallLink> candidateLinks() {
@@ -90,16 +90,16 @@
         return closed;
     }
 
-    /** Creates the answer to a peer that requests fleet news. */
+    /** Creates the answer to a peer that requests what this node knows of the fleet. */
     FleetNews createFleetNews(FleetRequest request) {
-        FleetNews.Builder news = FleetNews.newBuilder();
+        FleetNews.Builder update = FleetNews.newBuilder();
         if (configuration.version() > request.getConfigurationVersion()) {
-            news.setConfiguration(configuration.text());
+            update.setConfiguration(configuration.text());
         }
         if (!request.getConfigurationOnly()) {
-            news.addAllCrashes(quarantine.records());
-            fleet.all().forEach(target -> news.addMembers(target.member()));
+            update.addAllCrashes(quarantine.records());
+            fleet.all().forEach(target -> update.addMembers(target.member()));
         }
-        return news.build();
+        return update.build();
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/RelayNode.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/RelayNode.java
@@ -56,7 +56,7 @@
     private static final int UNAVAILABLE = 503;
     private static final String METRICS_PATH = "/metrics";
 
-    /** Calls that the ledger remembers; each takes some hundred bytes. */
+    /** Maximum number of calls that the ledger remembers; each takes some hundred bytes. */
     private static final int LEDGER_ENTRIES = 20_000;
 
     private static final long LEDGER_ANSWER_BYTES = 4 * 1024 * 1024;
@@ -148,9 +148,7 @@
         memberWatch.pollNow();
     }
 
-    /**
-     * Calls the store again if a call is pending: a peer knows a change that it has not returned.
-     */
+    /** Rereads both tables if a watch has not returned a change that a peer already knows. */
     private void rereadIfWaiting() {
         if (configurationWatch.isWaiting()) {
             configurationWatch.rereadTable();
@@ -284,9 +282,9 @@
         log.event("node-stopping").with("node", self).with("open", entry.openRequests()).write();
         target.stopAccepting();
         ports.callers().closeAfterReplies();
-        boolean upstreamGone = target.upstreamTracker().isLeaving();
+        boolean upstreamLeaving = target.upstreamTracker().isLeaving();
         CompletableFuture<Void> recordRemoved =
-                upstreamGone ? ownRecord.remove() : CompletableFuture.completedFuture(null);
+                upstreamLeaving ? ownRecord.remove() : CompletableFuture.completedFuture(null);
         return stop.run(
                         entry::rejectNewRequests,
                         () -> recordRemoved.isDone() && ports.callers().isIdle() && target.isIdle())
@@ -350,10 +348,10 @@
         return hello.build();
     }
 
-    private void merge(FleetNews news) {
-        configuration.applyIfNewer(news.getConfiguration(), "peer");
-        fleet.merge(news.getMembersList());
-        broadcastCrashes(quarantine.merge(news.getCrashesList()));
+    private void merge(FleetNews update) {
+        configuration.applyIfNewer(update.getConfiguration(), "peer");
+        fleet.merge(update.getMembersList());
+        broadcastCrashes(quarantine.merge(update.getCrashesList()));
     }
 
     private void broadcastCrashes(List<QuarantineRecord> records) {
@@ -361,8 +359,8 @@
             return;
         }
         log.event("crash-heard").with("records", records.size()).write();
-        FleetNews news = FleetNews.newBuilder().addAllCrashes(records).build();
-        fleet.all().forEach(known -> known.link().send(news));
+        FleetNews update = FleetNews.newBuilder().addAllCrashes(records).build();
+        fleet.all().forEach(known -> known.link().send(update));
     }
 
     private boolean isStoreLost() {
--- a/relay/src/main/java/org/damaskmoor/relay/internal/SeedLinkListener.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/SeedLinkListener.java
@@ -10,13 +10,14 @@
 import org.damaskmoor.schema.link.LinkHello;
 
 /**
- * Receives fleet news from whichever node has the address of a seed. Confined to the event loop.
+ * Receives members, configuration and crash records from the node at a seed's address, whatever its
+ * id is. Confined to the event loop.
  */
 final class SeedLinkListener implements LinkListener {
-    private final Consumer<FleetNews> news;
+    private final Consumer<FleetNews> fleetNewsConsumer;
 
-    SeedLinkListener(Consumer<FleetNews> news) {
-        this.news = news;
+    SeedLinkListener(Consumer<FleetNews> fleetNewsConsumer) {
+        this.fleetNewsConsumer = fleetNewsConsumer;
     }
 
     @Override
@@ -28,7 +29,7 @@
     @Override
     public void onHello(NodeId target, LinkHello hello) {
         if (hello.hasMember()) {
-            news.accept(FleetNews.newBuilder().addMembers(hello.getMember()).build());
+            fleetNewsConsumer.accept(FleetNews.newBuilder().addMembers(hello.getMember()).build());
         }
     }
 
@@ -44,6 +45,6 @@
 
     @Override
     public void onFleetNews(FleetNews received) {
-        news.accept(received);
+        fleetNewsConsumer.accept(received);
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/StoreReaderCoordinator.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/StoreReaderCoordinator.java
@@ -45,7 +45,8 @@
     private static final long MEMBER_DELAY_MILLISECONDS = 2500;
 
     /**
-     * Poll delay of a node that is informed by a reader; shorter than the store keeps its history.
+     * Poll delay of a node that is informed by a reader; shorter than the store keeps its history,
+     * because after that the node would have to read the whole table again.
      */
     private static final long INFORMED_DELAY_MILLISECONDS = 12_000;
 
@@ -132,7 +133,7 @@
         timers.schedule(ReaderElection.PERIOD_MILLISECONDS, this::start);
     }
 
-    /** A reader sent its heartbeat. */
+    /** Handles the heartbeat of a reader, which contains its configuration version. */
     void onReaderSign(ReaderSign sign) {
         if (sign.getNodeId().isEmpty()) {
             return;
@@ -157,15 +158,15 @@
 
     /** Sends all members including this node, because the previous reader may have missed some. */
     private void sendAllMembers() {
-        FleetNews.Builder news = FleetNews.newBuilder();
-        fleet.all().forEach(target -> news.addMembers(target.member()));
-        sendToDataCentre(news.build());
+        FleetNews.Builder update = FleetNews.newBuilder();
+        fleet.all().forEach(target -> update.addMembers(target.member()));
+        sendToDataCentre(update.build());
     }
 
-    /** Sends news to the nodes of this data centre, if this node is its reader. */
-    void sendToDataCentre(FleetNews news) {
+    /** Sends members to the nodes of this data centre, if this node is its reader. */
+    void sendToDataCentre(FleetNews update) {
         if (isReader()) {
-            fleet.inDataCentre().forEach(target -> target.link().send(news));
+            fleet.inDataCentre().forEach(target -> target.link().send(update));
         }
     }
 
--- a/relay/src/main/java/org/damaskmoor/relay/internal/control/AnnouncementEndpoint.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/control/AnnouncementEndpoint.java
@@ -37,8 +37,8 @@
                 return Answer.json(OK, "{}");
             }
             if (leaving.isPresent()) {
-                OptionalLong born = AnnouncementDecoder.decodeStartTime(body);
-                target.onDeregistration(leaving.get(), born);
+                OptionalLong startTime = AnnouncementDecoder.decodeStartTime(body);
+                target.onDeregistration(leaving.get(), startTime);
                 return Answer.json(OK, "{}");
             }
         } catch (MalformedMessageException invalid) {
--- a/relay/src/main/java/org/damaskmoor/relay/internal/entry/EntryExchange.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/entry/EntryExchange.java
@@ -244,7 +244,7 @@
         perform(call.deadline());
     }
 
-    void onCallerGone() {
+    void onCallerDisconnected() {
         context.metrics().count("caller-gone");
         perform(call.callerDisconnected());
     }
@@ -340,7 +340,7 @@
                 context.statistics().meanKilobytes(route.name()));
     }
 
-    /** Seals a lost attempt, unless the request is idempotent and can be sent again without it. */
+    /** Seals a lost attempt; an idempotent request is sent again without waiting for a seal. */
     private void seal(AttemptId attempt) {
         SentAttempt sent = attempts.get(attempt.attempt());
         sent.end();
--- a/relay/src/main/java/org/damaskmoor/relay/internal/entry/EntryRequestHandler.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/entry/EntryRequestHandler.java
@@ -148,7 +148,7 @@
         exchange.start();
         return () -> {
             lastFailureAt = context.timers().now();
-            exchange.onCallerGone();
+            exchange.onCallerDisconnected();
         };
     }
 
--- a/relay/src/main/java/org/damaskmoor/relay/internal/fleet/FleetDirectory.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/fleet/FleetDirectory.java
@@ -158,7 +158,7 @@
     }
 
     /**
-     * A node sent its hello. If another node has the address now, the expected one is removed.
+     * Handles the hello of the node at an address. If its id differs, the expected node is removed.
      *
      * @return whether it is the node that was expected at that address
      */
--- a/relay/src/main/java/org/damaskmoor/relay/internal/link/CallLink.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/link/CallLink.java
@@ -24,11 +24,11 @@
     /** Asks the target to seal a lost call, over a link that is newer than the one of the call. */
     void send(CallSeal seal);
 
-    /** Tells the target that nobody waits for a call any more. */
+    /** Notifies the target that the entry no longer waits for a call. */
     void send(CallCancel cancel);
 
     /** Sends what this node knows of the fleet. */
-    void send(FleetNews news);
+    void send(FleetNews update);
 
     /** Sends the heartbeat of this node as the store reader of its data centre. */
     void send(ReaderSign sign);
--- a/relay/src/main/java/org/damaskmoor/relay/internal/link/IncomingLinkHandler.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/link/IncomingLinkHandler.java
@@ -25,11 +25,11 @@
     /** A link was closed. */
     void onLinkClosed(EntryId entry, CallOutcomeListener outcomeListener);
 
-    /** Creates the answer to a peer that requests fleet news. */
+    /** Creates the answer to a peer that requests what this node knows of the fleet. */
     FleetNews createFleetNews(FleetRequest request);
 
     /** A peer sent what it knows of the fleet. */
-    void onFleetNews(FleetNews news);
+    void onFleetNews(FleetNews update);
 
     /** The store reader of a data centre sent its heartbeat. */
     void onReaderSign(ReaderSign sign);
--- a/relay/src/main/java/org/damaskmoor/relay/internal/link/LinkDialer.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/link/LinkDialer.java
@@ -43,7 +43,9 @@
                 peer, address, bootstrap, () -> helloFrames.create(peer.value()), timers, listener);
     }
 
-    /** Creates a link to whichever node has the address, used only to request fleet news. */
+    /**
+     * Creates a link to a node whose id is unknown, used only to request members and configuration.
+     */
     public CallLink seedLink(InetSocketAddress address, LinkListener listener) {
         NodeId placeholder = new NodeId("at-" + address.getHostString());
         return new OutgoingLink(
--- a/relay/src/main/java/org/damaskmoor/relay/internal/link/LinkListener.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/link/LinkListener.java
@@ -21,5 +21,5 @@
     void onLinkLost(NodeId target);
 
     /** A peer sent what it knows of the fleet. */
-    void onFleetNews(FleetNews news);
+    void onFleetNews(FleetNews update);
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/link/OutgoingLink.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/link/OutgoingLink.java
@@ -205,8 +205,8 @@
     }
 
     @Override
-    public void send(FleetNews news) {
-        writeOrQueue(LinkFrame.newBuilder().setFleetNews(news).build());
+    public void send(FleetNews update) {
+        writeOrQueue(LinkFrame.newBuilder().setFleetNews(update).build());
     }
 
     @Override
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/CallRunner.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/CallRunner.java
@@ -21,7 +21,10 @@
  * gets one outcome.
  */
 final class CallRunner {
-    /** Time after the deadline of a call for which an answer is still awaited. */
+    /**
+     * Time after the deadline of a call for which an answer is still awaited, because the upstream
+     * may be about to send it.
+     */
     private static final long ANSWER_GRACE_MILLISECONDS = 150;
 
     private static final int FIRST_SERVER_ERROR = 500;
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetCallHandler.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetCallHandler.java
@@ -130,8 +130,8 @@
     }
 
     /** The upstream deregistered. */
-    public void onDeregistration(UpstreamId id, OptionalLong born) {
-        if (tracker.onLeave(id, born, timers.now()) != Change.NONE) {
+    public void onDeregistration(UpstreamId id, OptionalLong startTime) {
+        if (tracker.onLeave(id, startTime, timers.now()) != Change.NONE) {
             log.event("upstream-leaving").with("upstream", id).with("step", "deregister").write();
             callbacks.onUpstreamChanged();
         }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/TokenBucket.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/TokenBucket.java
@@ -4,7 +4,7 @@
 final class TokenBucket {
     private static final double MILLISECONDS_PER_SECOND = 1000;
 
-    /** Fraction of the configured rate that is used, so that rounding never exceeds it. */
+    /** Fraction of the configured rate that is used, so that rounding errors never exceed it. */
     private static final double USED_FRACTION = 0.8;
 
     private final double perSecond;
--- a/relay/src/test/java/org/damaskmoor/relay/StoreReaderCoordinatorTest.java
+++ b/relay/src/test/java/org/damaskmoor/relay/StoreReaderCoordinatorTest.java
@@ -19,7 +19,7 @@
     private static final int RELAYS = 6;
     private static final int CHANGES = 3;
 
-    /** Longer than the poll delay of a reader, so that each change costs it a call of its own. */
+    /** Longer than the poll delay of a reader, so that it reads each change with its own call. */
     private static final long BETWEEN_CHANGES_MILLISECONDS = 1000;
 
     /**
