--- a/node/src/main/java/org/damaskmoor/node/MembershipEventForwarder.java
+++ b/node/src/main/java/org/damaskmoor/node/MembershipEventForwarder.java
@@ -39,8 +39,8 @@
     }
 
     @Override
-    public void onMemberGone(MemberRecord member) {
-        accounting.onMemberGone(member);
+    public void onMemberRemoved(MemberRecord member) {
+        accounting.onMemberRemoved(member);
         configuration.forget(new NodeId(member.getNodeId()));
     }
 
--- a/node/src/main/java/org/damaskmoor/node/NodeProcess.java
+++ b/node/src/main/java/org/damaskmoor/node/NodeProcess.java
@@ -192,7 +192,7 @@
 
     /**
      * Shuts down gracefully: accepts no new work, finishes requests in flight within the drain
-     * timeout, tells the other nodes, and stops.
+     * timeout, announces to the other nodes that it leaves, and stops.
      */
     public CompletableFuture<Void> stop() {
         stopping = true;
--- a/node/src/main/java/org/damaskmoor/node/internal/accounting/AccountingManager.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/accounting/AccountingManager.java
@@ -173,8 +173,10 @@
     }
 
     /** Handles a member that is dead or has left. */
-    public void onMemberGone(MemberRecord member) {
-        dependencies.accounting().execute(() -> recordGone(nodeOf(member), incarnationOf(member)));
+    public void onMemberRemoved(MemberRecord member) {
+        dependencies
+                .accounting()
+                .execute(() -> unregisterPeer(nodeOf(member), incarnationOf(member)));
     }
 
     /**
@@ -260,7 +262,7 @@
         replica.onOwnerUp(node, incarnation);
     }
 
-    private void recordGone(NodeId node, Incarnation incarnation) {
+    private void unregisterPeer(NodeId node, Incarnation incarnation) {
         replica.onOwnerDown(node, incarnation);
         if (presentMembers.remove(node, incarnation)) {
             replicator.onPeerLost(node, now());
--- a/node/src/main/java/org/damaskmoor/node/internal/claims/TableClaimService.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/claims/TableClaimService.java
@@ -39,7 +39,7 @@
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final String TABLE = "claims";
     private static final int MAXIMUM_WRITE_ATTEMPTS = 3;
-    private static final int MAXIMUM_CLAIM_ROUNDS = 3;
+    private static final int MAXIMUM_CLAIM_ATTEMPTS = 3;
     private static final int MAXIMUM_RELEASE_ATTEMPTS = 5;
     private static final long RELEASE_RETRY_MILLISECONDS = 1_000;
 
@@ -91,31 +91,31 @@
     public void claim(Call call, Consumer<ClaimResult> whenDone) {
         String key = ClaimKey.of(call);
         CompletableFuture<Void> unused =
-                claim(key, record(call), MAXIMUM_CLAIM_ROUNDS)
+                claim(key, record(call), MAXIMUM_CLAIM_ATTEMPTS)
                         .exceptionally(failure -> unavailable(key, failure))
                         .thenAcceptAsync(whenDone, upstream);
     }
 
-    private CompletableFuture<ClaimResult> claim(String key, ClaimRecord own, int rounds) {
+    private CompletableFuture<ClaimResult> claim(String key, ClaimRecord own, int attempts) {
         return write(key, WriteCondition.absent(), own)
                 .thenCompose(
                         result ->
                                 result instanceof WriteResult.Written
                                         ? CompletableFuture.completedFuture(ClaimResult.GRANTED)
-                                        : readExisting(key, own, rounds));
+                                        : readExisting(key, own, attempts));
     }
 
-    private CompletableFuture<ClaimResult> readExisting(String key, ClaimRecord own, int rounds) {
+    private CompletableFuture<ClaimResult> readExisting(String key, ClaimRecord own, int attempts) {
         return tables.get(TABLE, key)
                 .thenCompose(
                         row ->
                                 row.isEmpty()
-                                        ? retryClaim(key, own, rounds)
-                                        : resolveConflict(key, own, row.get(), rounds));
+                                        ? retryClaim(key, own, attempts)
+                                        : resolveConflict(key, own, row.get(), attempts));
     }
 
     private CompletableFuture<ClaimResult> resolveConflict(
-            String key, ClaimRecord own, Row row, int rounds) {
+            String key, ClaimRecord own, Row row, int attempts) {
         ClaimRecord existing = parse(row);
         if (existing.equals(own)) {
             return CompletableFuture.completedFuture(ClaimResult.GRANTED);
@@ -128,16 +128,16 @@
                         result ->
                                 result instanceof WriteResult.Written
                                         ? CompletableFuture.completedFuture(ClaimResult.GRANTED)
-                                        : retryClaim(key, own, rounds));
+                                        : retryClaim(key, own, attempts));
     }
 
     /**
      * The row was released or overwritten between read and write: claims again, a limited number of
      * times.
      */
-    private CompletableFuture<ClaimResult> retryClaim(String key, ClaimRecord own, int rounds) {
-        return rounds > 1
-                ? claim(key, own, rounds - 1)
+    private CompletableFuture<ClaimResult> retryClaim(String key, ClaimRecord own, int attempts) {
+        return attempts > 1
+                ? claim(key, own, attempts - 1)
                 : CompletableFuture.completedFuture(ClaimResult.UNAVAILABLE);
     }
 
--- a/node/src/main/java/org/damaskmoor/node/internal/configuration/ConfigurationManager.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/configuration/ConfigurationManager.java
@@ -158,7 +158,7 @@
         bootstrap.onFailure(peer);
     }
 
-    /** Forgets a member that is gone. */
+    /** Removes the state of a member that is dead or has left. */
     public void forget(NodeId peer) {
         peers.forget(peer);
     }
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/RequestExplanation.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/RequestExplanation.java
@@ -10,14 +10,14 @@
  * @param rule the rule that applies
  * @param allowed whether the rule allows the caller
  * @param candidates the service's upstreams with the weights that the router gives them
- * @param regionHeadroomGone whether requests go to other regions because the own region has no
+ * @param spillsToOtherRegions whether requests go to other regions because the own region has no
  *     spare capacity
  */
 public record RequestExplanation(
         MatchedRule rule,
         boolean allowed,
         List<CandidateEstimate> candidates,
-        boolean regionHeadroomGone) {
+        boolean spillsToOtherRegions) {
     /** Copies the candidates. */
     public RequestExplanation {
         candidates = List.copyOf(candidates);
--- a/node/src/main/java/org/damaskmoor/node/internal/entry/TargetFrameSender.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/entry/TargetFrameSender.java
@@ -15,7 +15,7 @@
 
     /**
      * Sends a frame over a connection that was opened or received data after the given time, so
-     * that delivery doesn't depend on a connection that may have gone silent.
+     * that delivery doesn't depend on a connection that may have stalled.
      *
      * @param aliveAfterNanoseconds a time on the monotonic clock
      */
--- a/node/src/main/java/org/damaskmoor/node/internal/http/CallerServer.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/CallerServer.java
@@ -155,8 +155,8 @@
                 limits.bodyBytes(),
                 body -> {
                     socket.setReadingBody(false);
-                    CallerRequest whole = withoutBody.withBody(body, clock.getAsLong());
-                    dispatch(whole, isHead, socket, response);
+                    CallerRequest complete = withoutBody.withBody(body, clock.getAsLong());
+                    dispatch(complete, isHead, socket, response);
                 },
                 reason -> {
                     refuser.refuse(socket, caller, reason);
@@ -215,7 +215,8 @@
     }
 
     /**
-     * The response after an exception in this node; the one for a refused request is never written.
+     * The response after an exception in this node. For a refused request it is never written,
+     * because {@link ConnectionRefuser} has taken the connection over.
      */
     private static Promise<HttpResponse> errorResponse(Exception exception) {
         if (!(exception instanceof RequestRefusedException)) {
--- a/node/src/main/java/org/damaskmoor/node/internal/http/ConnectionLimiter.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/ConnectionLimiter.java
@@ -7,7 +7,7 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * Counts callers' connections and tells which exceed the limits.
+ * Counts callers' connections and decides which exceed the limits.
  *
  * <p>Confined to the caller event loop. Invariant: the counts are the calls of {@link #register}
  * less those of {@link #unregister}; an address without connections takes no memory.
--- a/node/src/main/java/org/damaskmoor/node/internal/http/HeaderFields.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/HeaderFields.java
@@ -71,7 +71,7 @@
         return HeaderField.newBuilder().setName(name).setValue(value).build();
     }
 
-    /** The HTTP library decodes gzip bodies, so the field no longer applies. */
+    /** Whether the field says that the body is gzip, which the HTTP library has decoded. */
     private static boolean isDecoded(String lowerCaseName, String value) {
         return lowerCaseName.equals("content-encoding") && value.equalsIgnoreCase("gzip");
     }
--- a/node/src/main/java/org/damaskmoor/node/internal/http/HttpConnections.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/http/HttpConnections.java
@@ -10,7 +10,8 @@
 /**
  * Serves HTTP over custom sockets: the library's own server accepts plain sockets only.
  *
- * <p>Stateless and thread-safe. Loading this class fails if the library no longer has the method.
+ * <p>Stateless and thread-safe. Calls a non-public method of the library by a method handle;
+ * loading this class fails if the library no longer has it.
  */
 final class HttpConnections {
     private static final MethodHandle SERVE = serveMethod();
--- a/node/src/main/java/org/damaskmoor/node/internal/load/LoadMeasurementFactory.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/load/LoadMeasurementFactory.java
@@ -25,7 +25,7 @@
      *
      * @param settings the node's settings
      * @param metrics registry of the byte counters
-     * @param members tells which nodes are in other regions
+     * @param members provides the regions of the other nodes
      * @param clock the monotonic clock, in nanoseconds
      */
     public LoadMeasurementFactory(
--- a/node/src/main/java/org/damaskmoor/node/internal/load/ProbeTrackingRouter.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/load/ProbeTrackingRouter.java
@@ -18,7 +18,7 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * A router that tells a probe planner which targets have reported their load and delegates to
+ * A router that informs a probe planner which targets have reported their load and delegates to
  * another router.
  *
  * <p>Confined to the caller event loop. Invariant: an empty report doesn't count as a report; the
--- a/node/src/main/java/org/damaskmoor/node/internal/members/MembershipManager.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/members/MembershipManager.java
@@ -30,7 +30,10 @@
     private static final long JOIN_RETRY_MILLISECONDS = 1_000;
     private static final long SEED_CHECK_MILLISECONDS = 15_000;
 
-    /** Average time between two seed checks of the whole cluster, if it is large. */
+    /**
+     * Average time between two seed checks by any node of a large cluster, where each node checks
+     * less often than every {@link #SEED_CHECK_MILLISECONDS}.
+     */
     private static final long SEED_CHECK_MILLISECONDS_PER_MEMBER = 50;
 
     /** Minimum time between two publications, so that a burst of changes causes only one. */
@@ -60,7 +63,7 @@
         void onMemberPresent(MemberRecord member);
 
         /** A member is dead or has left. */
-        void onMemberGone(MemberRecord member);
+        void onMemberRemoved(MemberRecord member);
 
         /** A later incarnation of this node exists: this process must stop. */
         void onSuperseded();
@@ -195,7 +198,7 @@
                 event.member().getIncarnation(),
                 event.region());
         if (event.kind() == Kind.DEAD || event.kind() == Kind.LEFT) {
-            listener.onMemberGone(event.member());
+            listener.onMemberRemoved(event.member());
         } else if (event.kind() == Kind.JOINED || event.kind() == Kind.CHANGED) {
             listener.onMemberPresent(event.member());
         } else if (event.kind() == Kind.SUPERSEDED) {
--- a/node/src/main/java/org/damaskmoor/node/internal/members/SeedNodeRegistry.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/members/SeedNodeRegistry.java
@@ -17,8 +17,8 @@
  * Seed nodes in the table service, through which a new node finds its first peer. The table and the
  * log events call them join points.
  *
- * <p>Each data centre has a few rows; they are not renewed, only replaced when their node is gone,
- * so that the table service carries no heartbeats.
+ * <p>Each data centre has a few rows; they are not renewed, only replaced when their node is dead
+ * or has left, so that the table service carries no heartbeats.
  *
  * <p>Thread-safe.
  */
--- a/node/src/main/java/org/damaskmoor/node/internal/metrics/NodeMetric.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/metrics/NodeMetric.java
@@ -25,7 +25,7 @@
     UPSTREAM_LIMIT("damaskmoor_upstream_limit", Kind.GAUGE, "most calls the upstream may run"),
     /** Known nodes. */
     MEMBERS("damaskmoor_members", Kind.GAUGE, "nodes known, by state"),
-    /** Upstream crashes that still count. */
+    /** Crash records that have not expired. */
     CRASHES("damaskmoor_crash_records", Kind.GAUGE, "crashes of upstreams that still count"),
     /** Gossip bytes sent. */
     GOSSIP_SENT("damaskmoor_gossip_sent_bytes_total", Kind.COUNTER, "bytes of gossip, by kind"),
--- a/node/src/main/java/org/damaskmoor/node/internal/operator/ExplainHandler.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/operator/ExplainHandler.java
@@ -124,7 +124,7 @@
                     + ".";
         }
         String alsoFar =
-                explained.regionHeadroomGone()
+                explained.spillsToOtherRegions()
                         ? "; this region is full, so upstreams over the paid link are used too: "
                                 + far
                         : "";
@@ -139,8 +139,8 @@
         return weight.available() && (weight.distance() == Distance.REMOTE) == remote;
     }
 
-    private static String valueOrDefault(String given, String defaultValue) {
-        return given.isEmpty() ? defaultValue : given;
+    private static String valueOrDefault(String value, String defaultValue) {
+        return value.isEmpty() ? defaultValue : value;
     }
 
     private static String lowerCase(Enum<?> value) {
--- a/node/src/main/java/org/damaskmoor/node/internal/shutdown/GracefulShutdown.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/shutdown/GracefulShutdown.java
@@ -64,8 +64,8 @@
     }
 
     private static CompletableFuture<Void> delay(long delayMilliseconds) {
-        Executor later =
+        Executor delayed =
                 CompletableFuture.delayedExecutor(delayMilliseconds, TimeUnit.MILLISECONDS);
-        return CompletableFuture.runAsync(() -> {}, later);
+        return CompletableFuture.runAsync(() -> {}, delayed);
     }
 }
--- a/node/src/main/java/org/damaskmoor/node/internal/shutdown/ShutdownSteps.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/shutdown/ShutdownSteps.java
@@ -11,7 +11,7 @@
  * @param closeEntry closes the caller port after the open requests have their responses
  * @param targetIdle whether no call is queued or running at the target proxy
  * @param flushAccounts flushes the accounting, within the given milliseconds
- * @param leave tells the other nodes that this one leaves
+ * @param leave announces to the other nodes that this one leaves
  * @param closePorts closes all other ports
  */
 public record ShutdownSteps(
--- a/node/src/test/java/org/damaskmoor/node/internal/accounting/AccountingManagerTest.java
+++ b/node/src/test/java/org/damaskmoor/node/internal/accounting/AccountingManagerTest.java
@@ -130,7 +130,7 @@
             if (restarts) {
                 accounting.onMemberPresent(PEER.toBuilder().setIncarnation(2).build());
             } else {
-                accounting.onMemberGone(PEER);
+                accounting.onMemberRemoved(PEER);
             }
             loop.advance(100);
 
--- a/node/src/test/java/org/damaskmoor/node/internal/members/MembershipManagerTest.java
+++ b/node/src/test/java/org/damaskmoor/node/internal/members/MembershipManagerTest.java
@@ -73,7 +73,7 @@
         public void onDirectoryPublished() {}
 
         @Override
-        public void onMemberGone(MemberRecord member) {}
+        public void onMemberRemoved(MemberRecord member) {}
 
         @Override
         public void onMemberPresent(MemberRecord member) {}
