--- a/relay/src/main/java/org/damaskmoor/relay/internal/MemberTableListener.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/MemberTableListener.java
@@ -37,9 +37,9 @@
     @Override
     public void onSnapshot(List<StoredRow> rows) {
         fleet.onSnapshot(rows);
-        Optional<StoredRow> own =
+        Optional<StoredRow> ownRow =
                 rows.stream().filter(row -> row.key().equals(self.value())).findFirst();
-        own.ifPresentOrElse(ownRecordPublisher::onRow, ownRecordPublisher::onRowAbsent);
+        ownRow.ifPresentOrElse(ownRecordPublisher::onRow, ownRecordPublisher::onRowAbsent);
     }
 
     @Override
--- a/relay/src/main/java/org/damaskmoor/relay/internal/NodeQuarantine.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/NodeQuarantine.java
@@ -14,8 +14,8 @@
 import org.damaskmoor.schema.gossip.QuarantineRecord;
 
 /**
- * The quarantine of requests that crash upstreams, as this node knows it. Confined to the event
- * loop.
+ * The crash records known to this node, which decide which requests are quarantined. Confined to
+ * the event loop.
  */
 final class NodeQuarantine implements QuarantinedRequests {
     private final NodeId self;
@@ -31,7 +31,7 @@
         this.timers = timers;
     }
 
-    /** This node's upstream crashed; returns the records to send to peers. */
+    /** Records a crash of this node's upstream; returns the records to send to peers. */
     List<QuarantineRecord> onUpstreamCrashed(Collection<RequestFingerprint> running) {
         if (running.isEmpty()) {
             return List.of();
--- a/relay/src/main/java/org/damaskmoor/relay/internal/StoreReaderCoordinator.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/StoreReaderCoordinator.java
@@ -268,7 +268,10 @@
                 .forEach(target -> target.link().send(sign));
     }
 
-    /** The nodes of each other data centre that are most likely to be its reader. */
+    /**
+     * The nodes of each other data centre that are most likely to be its reader: those with the
+     * lowest hashes, as in {@link ReaderElection}.
+     */
     private Collection<FleetTarget> likelyReadersElsewhere() {
         Map<String, List<FleetTarget>> byDataCentre = new HashMap<>();
         for (FleetTarget target : fleet.inOtherDataCentres()) {
@@ -276,12 +279,12 @@
                     .computeIfAbsent(target.member().getDataCentre(), name -> new ArrayList<>())
                     .add(target);
         }
-        List<FleetTarget> first = new ArrayList<>();
+        List<FleetTarget> likelyReaders = new ArrayList<>();
         for (List<FleetTarget> targets : byDataCentre.values()) {
             targets.sort(Comparator.comparingLong(t -> StableHash.of(t.node().value())));
-            first.addAll(
+            likelyReaders.addAll(
                     targets.subList(0, Math.min(HEARTBEATS_PER_OTHER_DATA_CENTRE, targets.size())));
         }
-        return first;
+        return likelyReaders;
     }
 }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/control/AnnouncementEndpoint.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/control/AnnouncementEndpoint.java
@@ -37,8 +37,8 @@
                 return Answer.json(OK, "{}");
             }
             if (leaving.isPresent()) {
-                OptionalLong startTime = AnnouncementDecoder.decodeStartTime(body);
-                target.onDeregistration(leaving.get(), startTime);
+                OptionalLong startedAt = AnnouncementDecoder.decodeStartTime(body);
+                target.onDeregistration(leaving.get(), startedAt);
                 return Answer.json(OK, "{}");
             }
         } catch (MalformedMessageException invalid) {
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetCallHandler.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetCallHandler.java
@@ -129,9 +129,13 @@
         }
     }
 
-    /** The upstream deregistered. */
-    public void onDeregistration(UpstreamId id, OptionalLong startTime) {
-        if (tracker.onLeave(id, startTime, timers.now()) != Change.NONE) {
+    /**
+     * Handles a deregistration of the upstream.
+     *
+     * @param startedAt start time of the incarnation that leaves, if known
+     */
+    public void onDeregistration(UpstreamId id, OptionalLong startedAt) {
+        if (tracker.onLeave(id, startedAt, timers.now()) != Change.NONE) {
             log.event("upstream-leaving").with("upstream", id).with("step", "deregister").write();
             callbacks.onUpstreamChanged();
         }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetReplySender.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetReplySender.java
@@ -14,8 +14,8 @@
 import org.damaskmoor.schema.mesh.RefusalReason;
 
 /**
- * Sends entries the outcomes of their calls, and logs them with the load that led to them. Confined
- * to the event loop.
+ * Sends entries the outcomes of their calls, and logs them with the load at that time. Confined to
+ * the event loop.
  */
 final class TargetReplySender {
     private static final double PERCENT = 100;
--- a/relay/src/test/java/org/damaskmoor/relay/RelayFailureTest.java
+++ b/relay/src/test/java/org/damaskmoor/relay/RelayFailureTest.java
@@ -46,7 +46,7 @@
     @Test
     void should_forward_a_request_to_the_node_beside_its_upstream() throws Exception {
         // when
-        RawCaller.Answer answer = ask(RawCaller.post("/order/1", "r1", "body"));
+        RawCaller.Answer answer = sendRequest(RawCaller.post("/order/1", "r1", "body"));
 
         // then
         assertThat(answer.body()).isEqualTo("answer to r1");
@@ -57,16 +57,16 @@
     void should_apply_newer_configurations_only() throws Exception {
         // given
         String more = "," + ConfigurationJson.route("more", "/more/", "idempotent");
-        assertThat(ask(RawCaller.get("/more/1", "r1")).status()).isEqualTo(404);
+        assertThat(sendRequest(RawCaller.get("/more/1", "r1")).status()).isEqualTo(404);
 
         // when
         fleet.store.putConfiguration(ConfigurationJson.of(7, more));
-        TestFleet.await(() -> ask(RawCaller.get("/more/1", "r2")).status() == 200);
+        TestFleet.await(() -> sendRequest(RawCaller.get("/more/1", "r2")).status() == 200);
         fleet.store.putConfiguration(ConfigurationJson.of(3, ""));
         TestFleet.await(() -> entry.log().contains("event=configuration-older"));
 
         // then
-        assertThat(ask(RawCaller.get("/more/1", "r3")).status()).isEqualTo(200);
+        assertThat(sendRequest(RawCaller.get("/more/1", "r3")).status()).isEqualTo(200);
     }
 
     @Test
@@ -76,7 +76,7 @@
         TestFleet.await(() -> entry.log().contains("event=configuration-rejected"));
 
         // then
-        assertThat(ask(RawCaller.get("/read/1", "r1")).status()).isEqualTo(200);
+        assertThat(sendRequest(RawCaller.get("/read/1", "r1")).status()).isEqualTo(200);
     }
 
     @Test
@@ -89,7 +89,7 @@
         fleet.store.putConfiguration(ConfigurationJson.of(7, more));
 
         // then
-        TestFleet.await(() -> ask(RawCaller.get("/more/1", "r2")).status() == 200);
+        TestFleet.await(() -> sendRequest(RawCaller.get("/more/1", "r2")).status() == 200);
     }
 
     @Test
@@ -138,25 +138,25 @@
     @Test
     void should_keep_serving_while_the_store_is_unavailable() throws Exception {
         // given
-        ask(RawCaller.get("/read/1", "r0"));
+        sendRequest(RawCaller.get("/read/1", "r0"));
 
         // when
         fleet.store.setMode(StoreStandIn.Mode.UNAVAILABLE);
         TestFleet.await(() -> entry.log().contains("event=store-lost"));
 
         // then
-        assertThat(ask(RawCaller.get("/read/1", "r1")).status()).isEqualTo(200);
+        assertThat(sendRequest(RawCaller.get("/read/1", "r1")).status()).isEqualTo(200);
         assertThat(entry.isReady()).isTrue();
     }
 
     @Test
     void should_send_no_call_to_a_draining_upstream() throws Exception {
         // given
-        ask(RawCaller.get("/read/1", "r0"));
+        sendRequest(RawCaller.get("/read/1", "r0"));
 
         // when
         assertThat(target.announce("i-1", 100, 2, "draining")).isEqualTo(200);
-        RawCaller.Answer answer = ask(RawCaller.get("/read/1", "r1"));
+        RawCaller.Answer answer = sendRequest(RawCaller.get("/read/1", "r1"));
 
         // then
         assertThat(answer.status()).isEqualTo(503);
@@ -166,40 +166,41 @@
     @Test
     void should_send_no_call_to_a_node_that_reuses_an_address() throws Exception {
         // given
-        ask(RawCaller.get("/read/1", "r0"));
+        sendRequest(RawCaller.get("/read/1", "r0"));
         target.kill();
 
         // when a node with another service takes its address
-        try (UpstreamStandIn reused = new UpstreamStandIn();
+        try (UpstreamStandIn newUpstream = new UpstreamStandIn();
                 InProcessRelay successor =
                         new InProcessRelay(
                                 "successor",
                                 "other",
-                                reused.address(),
+                                newUpstream.address(),
                                 fleet.store.address(),
                                 target.links(),
                                 List.of())) {
             successor.announce("i-9", 900, 1, "ready");
             TestFleet.await(() -> entry.log().contains("event=member-added node=successor"));
-            RawCaller.Answer answer = ask(RawCaller.get("/read/1", "r1"));
+            RawCaller.Answer answer = sendRequest(RawCaller.get("/read/1", "r1"));
 
             // then
             assertThat(answer.status()).isEqualTo(503);
-            assertThat(reused.requests()).isEmpty();
+            assertThat(newUpstream.requests()).isEmpty();
         }
     }
 
     @Test
     void should_keep_open_calls_when_a_stale_record_has_the_same_address() throws Exception {
         // given a call that is open at the target
-        ask(RawCaller.get("/read/1", "r0"));
+        sendRequest(RawCaller.get("/read/1", "r0"));
         upstream.setScript(
                 (request, connection) -> {
                     Thread.sleep(600);
                     UpstreamStandIn.answerOk(request, connection);
                 });
         CompletableFuture<RawCaller.Answer> slow =
-                CompletableFuture.supplyAsync(() -> askUnchecked(RawCaller.get("/read/1", "r1")));
+                CompletableFuture.supplyAsync(
+                        () -> sendRequestUnchecked(RawCaller.get("/read/1", "r1")));
         TestFleet.await(() -> upstream.runCount("r1") == 1);
 
         // when the stale record of another node has the same address, and that node is called
@@ -217,8 +218,9 @@
         }
         TestFleet.await(
                 () -> {
-                    askUnchecked(RawCaller.get("/read/1", "r2"));
-                    return entry.log().contains("event=address-reused node=ghost found=target");
+                    sendRequestUnchecked(RawCaller.get("/read/1", "r2"));
+                    return entry.log()
+                            .contains("event=address-newUpstream node=ghost found=target");
                 });
 
         // then
@@ -235,7 +237,7 @@
                 });
         CompletableFuture<RawCaller.Answer> open =
                 CompletableFuture.supplyAsync(
-                        () -> askUnchecked(RawCaller.post("/order/1", "r1", "body")));
+                        () -> sendRequestUnchecked(RawCaller.post("/order/1", "r1", "body")));
         TestFleet.await(() -> upstream.runCount("r1") == 1);
 
         // when
@@ -254,7 +256,7 @@
         long started = System.nanoTime();
         CompletableFuture<RawCaller.Answer> open =
                 CompletableFuture.supplyAsync(
-                        () -> askUnchecked(RawCaller.post("/order/1", "r1", "body")));
+                        () -> sendRequestUnchecked(RawCaller.post("/order/1", "r1", "body")));
         TestFleet.await(() -> upstream.runCount("r1") == 1);
 
         // when
@@ -272,7 +274,7 @@
         upstream.setScript((request, connection) -> Thread.sleep(5000));
         CompletableFuture<RawCaller.Answer> open =
                 CompletableFuture.supplyAsync(
-                        () -> askUnchecked(RawCaller.post("/order/1", "r1", "body")));
+                        () -> sendRequestUnchecked(RawCaller.post("/order/1", "r1", "body")));
         TestFleet.await(() -> upstream.runCount("r1") == 1);
 
         // when
@@ -293,7 +295,7 @@
             second.setScript((request, connection) -> Thread.sleep(5000));
             CompletableFuture<RawCaller.Answer> open =
                     CompletableFuture.supplyAsync(
-                            () -> askUnchecked(RawCaller.get("/read/1", "r1")));
+                            () -> sendRequestUnchecked(RawCaller.get("/read/1", "r1")));
             TestFleet.await(() -> upstream.runCount("r1") + second.runCount("r1") == 1);
             boolean atTarget = upstream.runCount("r1") == 1;
 
@@ -321,15 +323,15 @@
         TestFleet.await(() -> entry.log().contains("event=member-removed node=target"));
     }
 
-    private RawCaller.Answer ask(String request) throws Exception {
+    private RawCaller.Answer sendRequest(String request) throws Exception {
         try (RawCaller caller = entry.caller()) {
             return caller.exchange(request);
         }
     }
 
-    private RawCaller.Answer askUnchecked(String request) {
+    private RawCaller.Answer sendRequestUnchecked(String request) {
         try {
-            return ask(request);
+            return sendRequest(request);
         } catch (Exception failure) {
             throw new IllegalStateException(failure);
         }
--- a/relay/src/test/java/org/damaskmoor/relay/UpstreamProtocolTest.java
+++ b/relay/src/test/java/org/damaskmoor/relay/UpstreamProtocolTest.java
@@ -33,7 +33,7 @@
     @Test
     void should_forward_status_body_and_headers_of_a_complete_answer() throws Exception {
         // when
-        RawCaller.Answer answer = ask(RawCaller.get("/read/1?x=%20y", "r1"));
+        RawCaller.Answer answer = sendRequest(RawCaller.get("/read/1?x=%20y", "r1"));
 
         // then
         assertThat(answer.status()).isEqualTo(200);
@@ -58,7 +58,7 @@
 
         // when, then
         for (int i = 0; i < 5; i++) {
-            assertThat(ask(RawCaller.get("/read/1", "r" + i)).body()).isEqualTo("of r" + i);
+            assertThat(sendRequest(RawCaller.get("/read/1", "r" + i)).body()).isEqualTo("of r" + i);
         }
     }
 
@@ -75,7 +75,7 @@
 
         // when, then
         for (int i = 0; i < 10; i++) {
-            assertThat(ask(RawCaller.get("/read/1", "r" + i)).body()).isEqualTo("of r" + i);
+            assertThat(sendRequest(RawCaller.get("/read/1", "r" + i)).body()).isEqualTo("of r" + i);
             Thread.sleep(10L * (i % 5));
         }
     }
@@ -91,7 +91,8 @@
                 });
 
         // when, then
-        assertThat(ask(RawCaller.post("/order/1", "r1", "body")).body()).isEqualTo("answer to r1");
+        assertThat(sendRequest(RawCaller.post("/order/1", "r1", "body")).body())
+                .isEqualTo("answer to r1");
     }
 
     @Test
@@ -107,7 +108,7 @@
                 });
 
         // when, then
-        assertThat(ask(RawCaller.post("/order/1", "r1", "body")).status()).isEqualTo(502);
+        assertThat(sendRequest(RawCaller.post("/order/1", "r1", "body")).status()).isEqualTo(502);
         assertThat(upstream.runCount("r1")).isEqualTo(1);
     }
 
@@ -122,7 +123,7 @@
                 });
 
         // when, then
-        assertThat(ask(RawCaller.get("/read/1", "r1")).body()).isEqualTo("all of it");
+        assertThat(sendRequest(RawCaller.get("/read/1", "r1")).body()).isEqualTo("all of it");
     }
 
     @Test
@@ -137,7 +138,7 @@
                 });
 
         // when, then
-        assertThat(ask(RawCaller.post("/order/1", "r1", "body")).status()).isEqualTo(502);
+        assertThat(sendRequest(RawCaller.post("/order/1", "r1", "body")).status()).isEqualTo(502);
     }
 
     @Test
@@ -150,7 +151,7 @@
                 });
 
         // when, then
-        assertThat(ask(RawCaller.post("/order/1", "r1", "body")).status()).isEqualTo(502);
+        assertThat(sendRequest(RawCaller.post("/order/1", "r1", "body")).status()).isEqualTo(502);
     }
 
     @Test
@@ -164,7 +165,7 @@
                                         + "\r\nContent-Length: 0\r\n\r\n"));
 
         // when
-        RawCaller.Answer answer = ask(RawCaller.post("/order/1", "r1", "body"));
+        RawCaller.Answer answer = sendRequest(RawCaller.post("/order/1", "r1", "body"));
 
         // then
         assertThat(answer.status()).isEqualTo(503);
@@ -183,7 +184,7 @@
                 });
 
         // when, then
-        assertThat(ask(RawCaller.post("/order/1", "r1", "body")).status()).isEqualTo(200);
+        assertThat(sendRequest(RawCaller.post("/order/1", "r1", "body")).status()).isEqualTo(200);
     }
 
     @Test
@@ -194,7 +195,7 @@
         long started = System.nanoTime();
 
         // when
-        RawCaller.Answer answer = ask(RawCaller.get("/read/1", "r1"));
+        RawCaller.Answer answer = sendRequest(RawCaller.get("/read/1", "r1"));
 
         // then
         long tookMilliseconds = (System.nanoTime() - started) / 1_000_000;
@@ -209,7 +210,7 @@
         upstream.setScript((request, connection) -> connection.reset());
 
         // when
-        RawCaller.Answer answer = ask(RawCaller.post("/order/1", "r1", "body"));
+        RawCaller.Answer answer = sendRequest(RawCaller.post("/order/1", "r1", "body"));
 
         // then
         assertThat(answer.status()).isEqualTo(502);
@@ -226,7 +227,7 @@
                                         + "Content-Length: 0\r\n\r\n"));
 
         // when, then
-        assertThat(ask(RawCaller.post("/order/1", "r1", "body")).status()).isEqualTo(503);
+        assertThat(sendRequest(RawCaller.post("/order/1", "r1", "body")).status()).isEqualTo(503);
     }
 
     @Test
@@ -253,9 +254,9 @@
     @Test
     void should_start_no_call_while_the_vm_is_briefly_slow() throws Exception {
         // given
-        ask(RawCaller.get("/read/1", "first"));
+        sendRequest(RawCaller.get("/read/1", "first"));
         upstream.setLoad("0,0,9,100");
-        ask(RawCaller.get("/read/1", "second"));
+        sendRequest(RawCaller.get("/read/1", "second"));
         upstream.setLoad("0,0,9,500");
         Thread.sleep(50);
 
@@ -273,7 +274,7 @@
         }
     }
 
-    private RawCaller.Answer ask(String request) throws Exception {
+    private RawCaller.Answer sendRequest(String request) throws Exception {
         try (RawCaller caller = relay.caller()) {
             return caller.exchange(request);
         }
