--- a/node/src/test/java/org/damaskmoor/node/GracefulShutdownTest.java
+++ b/node/src/test/java/org/damaskmoor/node/GracefulShutdownTest.java
@@ -109,8 +109,8 @@
                 } catch (ConnectException notConnected) {
                     // No request was sent: connect to the next entry node.
                     TestNode.pause();
-                } catch (IOException cutOff) {
-                    failures.add(cutOff.toString());
+                } catch (IOException disconnected) {
+                    failures.add(disconnected.toString());
                 }
             }
         }
--- a/operator/src/main/java/org/damaskmoor/operator/OperatorClient.java
+++ b/operator/src/main/java/org/damaskmoor/operator/OperatorClient.java
@@ -102,7 +102,7 @@
                 stub -> stub.deleteService(request));
     }
 
-    /** Returns the configuration of a service that the node holds; empty if there is none. */
+    /** Returns the configuration of a service at the node; empty if there is none. */
     public Optional<VersionedConfiguration> find(String name) throws OperatorException {
         GetServiceRequest request = GetServiceRequest.newBuilder().setName(name).build();
         try {
@@ -115,12 +115,12 @@
         }
     }
 
-    /** Returns the version of a service that the node holds; 0 if there is none. */
+    /** Returns the version of a service at the node; 0 if there is none. */
     public long versionInForce(String name) throws OperatorException {
         return find(name).map(VersionedConfiguration::getVersion).orElse(0L);
     }
 
-    /** Returns all services that the node holds. */
+    /** Returns all services that are configured at the node. */
     public ListServicesResponse list() throws OperatorException {
         return invoke("list", stub -> stub.listServices(ListServicesRequest.getDefaultInstance()));
     }
--- a/operator/src/main/java/org/damaskmoor/operator/internal/command/ChangeFlags.java
+++ b/operator/src/main/java/org/damaskmoor/operator/internal/command/ChangeFlags.java
@@ -34,14 +34,17 @@
         }
     }
 
-    /** Returns the given id or a random one, and prints it before the change is sent. */
+    /**
+     * Returns the value of the flag or a random id. Prints it before the change is sent, so that
+     * the operator can repeat the change if the outcome is unknown.
+     */
     String operationId(CommandContext context) {
         String id = operationId == null ? UUID.randomUUID().toString() : operationId;
         context.errorOutput().println("operation id: " + id);
         return id;
     }
 
-    /** Returns the given version or the one that the node holds. */
+    /** Returns the value of the flag or the version that is in force at the node. */
     long expectedVersion(OperatorClient client, String service, CommandContext context)
             throws OperatorException {
         if (expectedVersion != null) {
