--- a/relay/src/test/java/org/damaskmoor/relay/RelayFailureTest.java
+++ b/relay/src/test/java/org/damaskmoor/relay/RelayFailureTest.java
@@ -219,8 +219,7 @@
         TestFleet.await(
                 () -> {
                     sendRequestUnchecked(RawCaller.get("/read/1", "r2"));
-                    return entry.log()
-                            .contains("event=address-newUpstream node=ghost found=target");
+                    return entry.log().contains("event=address-reused node=ghost found=target");
                 });
 
         // then
