--- a/relay/src/main/java/org/damaskmoor/relay/internal/entry/ForwardedCallFactory.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/entry/ForwardedCallFactory.java
@@ -9,7 +9,10 @@
 
 /** Creates the {@link ForwardedCall} messages of one request. Confined to the event loop. */
 final class ForwardedCallFactory {
-    /** Upper bound of the spare time until the objective; longer than any wait at a target. */
+    /**
+     * Upper bound of the reported spare time, which is the delay at the target after which another
+     * target would be better; longer than any wait at a target.
+     */
     private static final double MAX_SPARE_MILLISECONDS = 60_000;
 
     private static final double PERCENT = 100;
--- a/relay/src/main/java/org/damaskmoor/relay/internal/link/LinkDialer.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/link/LinkDialer.java
@@ -44,7 +44,8 @@
     }
 
     /**
-     * Creates a link to a node whose id is unknown, used only to request members and configuration.
+     * Creates a link to a node whose id is unknown, used only to request what it knows of the
+     * fleet.
      */
     public CallLink seedLink(InetSocketAddress address, LinkListener listener) {
         NodeId placeholder = new NodeId("at-" + address.getHostString());
