--- a/node/src/main/java/org/damaskmoor/node/internal/operator/ExplainHandler.java
+++ b/node/src/main/java/org/damaskmoor/node/internal/operator/ExplainHandler.java
@@ -123,7 +123,7 @@
                     + ".";
         }
         String alsoFar =
-                explained.regionHeadroomGone()
+                explained.spillsToOtherRegions()
                         ? "; as this region is full, also over the paid link, upstreams there: "
                                 + far
                         : "";
@@ -137,8 +137,8 @@
         return weight.available() && (weight.distance() == Distance.REMOTE) == remote;
     }
 
-    private static String valueOrDefault(String given, String defaultValue) {
-        return given.isEmpty() ? defaultValue : given;
+    private static String valueOrDefault(String value, String defaultValue) {
+        return value.isEmpty() ? defaultValue : value;
     }
 
     private static String lowerCase(Enum<?> value) {
