--- a/core/src/main/java/org/damaskmoor/core/accounting/RefusalReplica.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/RefusalReplica.java
@@ -69,18 +69,18 @@
     }
 
     private boolean store(Owner owner, RefusalBatch batch) {
-        OwnerGroups held = owners.computeIfAbsent(owner, unused -> new OwnerGroups());
-        if (batch.getSequence() <= held.flushedThrough) {
+        OwnerGroups ownerGroups = owners.computeIfAbsent(owner, unused -> new OwnerGroups());
+        if (batch.getSequence() <= ownerGroups.flushedThrough) {
             return true;
         }
         long first = batch.getGroupFirstSequence();
-        OpenGroup group = held.groups.get(first);
+        OpenGroup group = ownerGroups.groups.get(first);
         if (group == null) {
             group = new OpenGroup(owner.node(), owner.incarnation(), first, maximumKeysPerGroup);
         }
         boolean added = group.append(batch);
         if (added) {
-            held.groups.put(first, group);
+            ownerGroups.groups.put(first, group);
         }
         return added;
     }
@@ -93,37 +93,37 @@
 
     private void markOlderIncarnationsDown(Owner owner) {
         owners.forEach(
-                (other, held) -> {
+                (other, ownerGroups) -> {
                     boolean older = other.incarnation().compareTo(owner.incarnation()) < 0;
-                    held.down |= older && other.node().equals(owner.node());
+                    ownerGroups.down |= older && other.node().equals(owner.node());
                 });
     }
 
     private void dropFlushed(Owner owner, long flushedThrough) {
-        OwnerGroups held = owners.get(owner);
-        if (held == null) {
+        OwnerGroups ownerGroups = owners.get(owner);
+        if (ownerGroups == null) {
             return;
         }
-        held.flushedThrough = Math.max(held.flushedThrough, flushedThrough);
-        held.groups.values().removeIf(group -> group.last() <= held.flushedThrough);
-        if (held.groups.isEmpty() && held.down) {
+        ownerGroups.flushedThrough = Math.max(ownerGroups.flushedThrough, flushedThrough);
+        ownerGroups.groups.values().removeIf(group -> group.last() <= ownerGroups.flushedThrough);
+        if (ownerGroups.groups.isEmpty() && ownerGroups.down) {
             owners.remove(owner);
         }
     }
 
     /** An incarnation of a node died or left: its unflushed groups become orphaned. */
     public void onOwnerDown(NodeId node, Incarnation incarnation) {
-        OwnerGroups held = owners.get(new Owner(node, incarnation));
-        if (held != null) {
-            held.down = true;
+        OwnerGroups ownerGroups = owners.get(new Owner(node, incarnation));
+        if (ownerGroups != null) {
+            ownerGroups.down = true;
         }
     }
 
-    /** A node that was considered dead is alive. */
+    /** A node that was considered dead is alive: its groups are left to it to flush. */
     public void onOwnerUp(NodeId node, Incarnation incarnation) {
-        OwnerGroups held = owners.get(new Owner(node, incarnation));
-        if (held != null) {
-            held.down = false;
+        OwnerGroups ownerGroups = owners.get(new Owner(node, incarnation));
+        if (ownerGroups != null) {
+            ownerGroups.down = false;
         }
     }
 
@@ -132,20 +132,20 @@
         List<RefusalGroup> orphaned = new ArrayList<>();
         Iterator<OwnerGroups> iterator = owners.values().iterator();
         while (iterator.hasNext()) {
-            OwnerGroups held = iterator.next();
-            if (held.down) {
-                takeGroups(held, orphaned);
+            OwnerGroups ownerGroups = iterator.next();
+            if (ownerGroups.down) {
+                takeGroups(ownerGroups, orphaned);
             }
-            if (held.down && held.groups.isEmpty()) {
+            if (ownerGroups.down && ownerGroups.groups.isEmpty()) {
                 iterator.remove();
             }
         }
         return orphaned;
     }
 
-    private static void takeGroups(OwnerGroups held, List<RefusalGroup> orphaned) {
-        for (OpenGroup group : held.groups.values()) {
-            Long returned = held.returnedThrough.put(group.first(), group.last());
+    private static void takeGroups(OwnerGroups ownerGroups, List<RefusalGroup> orphaned) {
+        for (OpenGroup group : ownerGroups.groups.values()) {
+            Long returned = ownerGroups.returnedThrough.put(group.first(), group.last());
             if (returned == null || returned < group.last()) {
                 orphaned.add(group.snapshot());
             }
@@ -154,26 +154,26 @@
 
     /** A group returned by {@link #takeOrphaned} was written to the object store. */
     public void onFlushed(RefusalGroup group) {
-        OwnerGroups held = owners.get(new Owner(group.owner(), group.incarnation()));
-        if (held == null) {
+        OwnerGroups ownerGroups = owners.get(new Owner(group.owner(), group.incarnation()));
+        if (ownerGroups == null) {
             return;
         }
-        OpenGroup current = held.groups.get(group.first());
-        if (current != null && held.down && current.last() <= group.last()) {
-            held.groups.remove(group.first());
-            held.returnedThrough.remove(group.first());
+        OpenGroup current = ownerGroups.groups.get(group.first());
+        if (current != null && ownerGroups.down && current.last() <= group.last()) {
+            ownerGroups.groups.remove(group.first());
+            ownerGroups.returnedThrough.remove(group.first());
         }
     }
 
-    /** Returns the number of keys held for all owners. */
+    /** Returns the number of keys stored for all owners. */
     public int size() {
         return owners.values().stream()
-                .flatMap(held -> held.groups.values().stream())
+                .flatMap(ownerGroups -> ownerGroups.groups.values().stream())
                 .mapToInt(OpenGroup::size)
                 .sum();
     }
 
-    /** Returns the number of node incarnations whose counts are held. */
+    /** Returns the number of node incarnations whose counts are stored. */
     public int ownerCount() {
         return owners.size();
     }
--- a/core/src/main/java/org/damaskmoor/core/accounting/RefusalReplicator.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/RefusalReplicator.java
@@ -221,7 +221,7 @@
         return degraded;
     }
 
-    /** Returns the total number of keys held, for metrics. */
+    /** Returns the total number of keys in memory, for metrics. */
     public int size() {
         return openBatch.size()
                 + openGroup.size()
--- a/core/src/main/java/org/damaskmoor/core/accounting/internal/ReplicationProgress.java
+++ b/core/src/main/java/org/damaskmoor/core/accounting/internal/ReplicationProgress.java
@@ -12,7 +12,7 @@
     private long waitingSinceNanoseconds;
     private boolean closedAcknowledged = true;
     private long closedSentNanoseconds;
-    private int silentPeers;
+    private int unresponsiveCount;
 
     /** Returns whether the peer was sent everything up to the sequence. */
     public boolean wasSentThrough(long sequence) {
@@ -35,7 +35,7 @@
         waitingSinceNanoseconds = nowNanoseconds;
         closedAcknowledged = !closed;
         closedSentNanoseconds = nowNanoseconds;
-        silentPeers++;
+        unresponsiveCount++;
     }
 
     /** The open group up to {@code last} became the closed one. */
@@ -47,7 +47,7 @@
 
     /** The peer acknowledged the open group up to a sequence. */
     public void onAcknowledged(long sequence, long nowNanoseconds) {
-        silentPeers = 0;
+        unresponsiveCount = 0;
         if (sequence > acknowledgedThrough) {
             acknowledgedThrough = sequence;
             waitingSinceNanoseconds = nowNanoseconds;
@@ -56,7 +56,7 @@
 
     /** The peer acknowledged the whole closed group. */
     public void onClosedGroupAcknowledged() {
-        silentPeers = 0;
+        unresponsiveCount = 0;
         closedAcknowledged = true;
     }
 
@@ -74,6 +74,6 @@
 
     /** Returns the number of peers that were sent everything since the last acknowledgement. */
     public int unresponsivePeers() {
-        return silentPeers;
+        return unresponsiveCount;
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/admission/AdmissionOutcome.java
+++ b/core/src/main/java/org/damaskmoor/core/admission/AdmissionOutcome.java
@@ -8,6 +8,6 @@
     FAILED,
     /** The upstream refused it with 503 and "not run". */
     SHED,
-    /** The caller stopped waiting. Says nothing about the upstream. */
+    /** The caller stopped waiting. Counts neither for nor against the upstream. */
     CANCELLED
 }
--- a/core/src/main/java/org/damaskmoor/core/admission/internal/UpstreamAdmissionController.java
+++ b/core/src/main/java/org/damaskmoor/core/admission/internal/UpstreamAdmissionController.java
@@ -139,7 +139,7 @@
             case FAILED -> updateFailureRate(1);
             case SHED -> limit.onShed(now);
             default -> {
-                // A cancelled request says nothing about the upstream.
+                // Not evidence about the upstream: limit and failure rate do not change.
             }
         }
     }
--- a/core/src/main/java/org/damaskmoor/core/atmostonce/AcceptanceResult.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/AcceptanceResult.java
@@ -17,7 +17,7 @@
     SEALED_ALREADY,
     /** The call is addressed to another incarnation of this node; it may have run there. */
     WRONG_INCARNATION,
-    /** The ledger has no room; the call has not run and never will here. */
+    /** The ledger is full; the call has not run and never will here. */
     FULL,
     /** The deadline passed in transit; the call has not run and never will here. */
     DEADLINE_PASSED,
--- a/core/src/main/java/org/damaskmoor/core/atmostonce/CancelResult.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/CancelResult.java
@@ -5,7 +5,7 @@
     /** The request was queued; it is now refused and never runs. */
     DROPPED,
     /**
-     * The request is handed over: the upstream may be told to stop, and the outcome is still
+     * The request is handed over: the upstream may be asked to stop, and the outcome is still
      * awaited.
      */
     RUNNING,
--- a/core/src/main/java/org/damaskmoor/core/atmostonce/EntryAction.java
+++ b/core/src/main/java/org/damaskmoor/core/atmostonce/EntryAction.java
@@ -31,7 +31,7 @@
     record Wait() implements EntryAction {}
 
     /**
-     * Tell a target that the outcome of its attempt is no longer awaited.
+     * Notify a target that the outcome of its attempt is no longer awaited.
      *
      * @param attempt the attempt
      * @param target the incarnation it was sent to
--- a/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationChanger.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationChanger.java
@@ -50,7 +50,7 @@
     /**
      * Executes one change; a failure of the table never completes the result exceptionally.
      *
-     * @param known all configurations that the node holds, to find conflicts between services
+     * @param known all configurations that the node has stored, to find conflicts between services
      */
     public CompletableFuture<ChangeOutcome> apply(
             ChangeRequest request, List<VersionedConfiguration> known) {
--- a/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationGossip.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationGossip.java
@@ -11,7 +11,7 @@
 /**
  * Spreads configuration versions over the membership protocol and repairs what gossip missed: when
  * a peer's digest still differs after this node's has been stable for two seconds, it is sent all
- * versions held here, and requests those that it lacks.
+ * versions of this node, and requests those that it lacks.
  *
  * <p>Invariant: all versions are sent to at most one peer per interval, which doubles while the
  * digest of this node does not change. Not thread-safe: one thread drives it.
--- a/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationPuller.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationPuller.java
@@ -23,7 +23,7 @@
  * Fetches configurations whose versions were announced: from the announcing peers, one after
  * another, and from the platform's table if they do not provide them.
  *
- * <p>Invariant: a version is wanted until the store holds it or a newer one. Not thread-safe: one
+ * <p>Invariant: a version is requested until it or a newer one is stored. Not thread-safe: one
  * thread drives it, and results of the table are passed to that thread's executor.
  */
 public final class ConfigurationPuller {
@@ -158,7 +158,7 @@
         }
     }
 
-    /** Returns whether an announced version is not held yet. */
+    /** Returns whether an announced version is still missing. */
     public boolean isWaiting() {
         return wanted.entrySet().stream()
                 .anyMatch(entry -> !isHeld(entry.getKey(), entry.getValue()));
--- a/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationStore.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationStore.java
@@ -12,7 +12,7 @@
 import org.damaskmoor.schema.gossip.ConfigurationVersion;
 
 /**
- * The configurations that a node holds, one version for each service.
+ * Stores the newest known configuration of each service at a node.
  *
  * <p>Invariants: the version of a service only increases, also across its deletion; two nodes that
  * hold the same versions have the same digest. Not thread-safe: one thread drives it; the listener
@@ -33,7 +33,7 @@
         this.listener = listener;
     }
 
-    /** Stores a version if it is newer than the one held; returns whether it was stored. */
+    /** Stores a version if it is newer than the stored one; returns whether it was stored. */
     public boolean accept(VersionedConfiguration configuration) {
         String service = configuration.getService().getName();
         long previous = versionOf(service);
@@ -55,33 +55,33 @@
         return version.getVersion() > previous;
     }
 
-    /** Returns whether an older version than this one is held, or none. */
+    /** Returns whether the stored version is older than this one or absent. */
     public boolean lacks(ConfigurationVersion version) {
         return versionOf(version.getService()) < version.getVersion();
     }
 
-    /** Returns the version held of a service; 0 if none. */
+    /** Returns the stored version of a service; 0 if there is none. */
     public long versionOf(String service) {
         VersionedConfiguration configuration = held.get(service);
         return configuration == null ? 0 : configuration.getVersion();
     }
 
-    /** Returns the digest over all versions held; 0 if none is. */
+    /** Returns the digest over all stored versions; 0 if there are none. */
     public long digest() {
         return digest;
     }
 
-    /** Returns the configuration held of a service, including a deleted one. */
+    /** Returns the stored configuration of a service, including a deleted one. */
     public Optional<VersionedConfiguration> find(ServiceName service) {
         return Optional.ofNullable(held.get(service.value()));
     }
 
-    /** Returns all configurations held, deleted services included, in order of name. */
+    /** Returns all stored configurations, deleted services included, in order of name. */
     public List<VersionedConfiguration> all() {
         return List.copyOf(held.values());
     }
 
-    /** Returns the versions held, in order of name. */
+    /** Returns the stored versions, in order of name. */
     public List<ConfigurationVersion> versions() {
         List<ConfigurationVersion> versions = new ArrayList<>(held.size());
         held.forEach((service, configuration) -> versions.add(versionOf(configuration)));
--- a/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationValidator.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationValidator.java
@@ -36,7 +36,7 @@
     /**
      * Validates a change.
      *
-     * @param known all configurations that the node holds, to find conflicts between services
+     * @param known all configurations that the node has stored, to find conflicts between services
      * @return every fault; empty: the change may be written
      */
     public List<ConfigurationFault> validate(
--- a/core/src/main/java/org/damaskmoor/core/configuration/PeerConfigurationTracker.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/PeerConfigurationTracker.java
@@ -25,7 +25,7 @@
         SAME,
         /** The peer last reported versions that this node has since replaced. */
         BEHIND,
-        /** The peer last reported a set of versions that this node never held. */
+        /** The peer last reported a set of versions that this node never had. */
         DIFFERENT,
         /** The peer has not reported its versions. */
         UNKNOWN
--- a/core/src/main/java/org/damaskmoor/core/election/ReaderElection.java
+++ b/core/src/main/java/org/damaskmoor/core/election/ReaderElection.java
@@ -27,8 +27,8 @@
     public static final long PERIOD_MILLISECONDS = 600;
 
     /**
-     * Time without a heartbeat after which a reader counts as failed; two heartbeats may be lost or
-     * late.
+     * Time without a heartbeat after which a reader counts as failed; one heartbeat may be lost and
+     * the next one late by less than 200 ms.
      */
     public static final long TIMEOUT_MILLISECONDS = 1400;
 
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/Prober.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/Prober.java
@@ -58,8 +58,8 @@
     }
 
     /**
-     * Cancels the current probe after a pause of this process, because a missing answer then says
-     * nothing about the target.
+     * Cancels the current probe after a pause of this process, because a missing answer may be due
+     * to the pause.
      */
     void cancelProbe() {
         probe = null;
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/RegionReachability.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/RegionReachability.java
@@ -109,8 +109,8 @@
     }
 
     /**
-     * Cancels the current probes after a pause of this process, because missing answers then say
-     * nothing about the regions.
+     * Cancels the current probes after a pause of this process, because missing answers may be due
+     * to the pause.
      */
     void cancelProbes() {
         probers.values().forEach(RegionProber::cancelProbe);
--- a/core/src/main/java/org/damaskmoor/core/operator/OperatorTrailers.java
+++ b/core/src/main/java/org/damaskmoor/core/operator/OperatorTrailers.java
@@ -6,7 +6,7 @@
 import org.damaskmoor.schema.operator.Faults;
 
 /**
- * The gRPC trailers with which a node tells an operator's client why a call failed.
+ * The gRPC trailers that carry the reason of a failed call to an operator's client.
  *
  * <pre>{@code
  * Conflict conflict = failure.getTrailers().get(OperatorTrailers.CONFLICT);
--- a/core/src/main/java/org/damaskmoor/core/placement/RouteStatistics.java
+++ b/core/src/main/java/org/damaskmoor/core/placement/RouteStatistics.java
@@ -14,8 +14,7 @@
     private static final int MAX_ROUTES = 4096;
 
     /**
-     * A call is worth sending only if this fraction of its mean service time is left until its
-     * deadline.
+     * A call's deadline is too short when less than this fraction of its mean service time is left.
      */
     private static final double MIN_TIME_FRACTION = 0.8;
 
--- a/core/src/main/java/org/damaskmoor/core/placement/TargetChooser.java
+++ b/core/src/main/java/org/damaskmoor/core/placement/TargetChooser.java
@@ -40,7 +40,7 @@
     /** Cost per objective of expected time; prefers the faster target when both answer in time. */
     private static final double COST_PER_OBJECTIVE = 0.06;
 
-    /** Cost of a failure: the answer, or the work of another attempt. */
+    /** Cost of a failure, which loses the answer or takes the work of another attempt. */
     private static final double FAILURE_COST = 0.6;
 
     private final RandomGenerator random;
--- a/core/src/main/java/org/damaskmoor/core/queueing/AdmissionQueue.java
+++ b/core/src/main/java/org/damaskmoor/core/queueing/AdmissionQueue.java
@@ -57,8 +57,8 @@
     private static final double SHORT_FRACTION = 0.35;
 
     /**
-     * A call is worth running only if this fraction of its mean service time is left until its
-     * deadline.
+     * A waiting call expires when no more than this fraction of its mean service time is left until
+     * its deadline.
      */
     private static final double MIN_TIME_FRACTION = 0.8;
 
@@ -118,13 +118,13 @@
                 Math.min(MAX_HIGHER_PRIORITY_SHARE, higherPriorityShare(call.priority()));
         wait = wait / (1 - higherPriority);
         boolean meetsObjective = now + wait + service <= call.objectiveAt();
-        boolean worthWaiting =
+        boolean mayWait =
                 meetsObjective
                         || (call.lastChoice()
                                 && (!isUnderPressure() || rank(call, now) == SHORT)
                                 && wait <= LATE_WAIT_FRACTION * (call.deadlineAt() - now)
                                 && now + wait + service <= call.deadlineAt());
-        if (!worthWaiting || !tryMakeRoom(call)) {
+        if (!mayWait || !tryMakeSpace(call)) {
             return QueueDecision.sendBack(retryAfter(wait));
         }
         waiting.add(call);
@@ -194,7 +194,7 @@
         serviceMilliseconds += SAMPLE_WEIGHT * (milliseconds - serviceMilliseconds);
     }
 
-    /** Called when a running call has ended without a service time that is worth recording. */
+    /** Called when a running call has ended without a representative service time. */
     public void onAbandoned() {
         running--;
     }
@@ -234,7 +234,7 @@
         return waiting.size() >= PRESSURE_WAITING_PER_SLOT * limit;
     }
 
-    private boolean tryMakeRoom(QueuedCall<T> arriving) {
+    private boolean tryMakeSpace(QueuedCall<T> arriving) {
         if (waiting.size() < MAX_WAITING_PER_SLOT * limit) {
             return true;
         }
--- a/core/src/main/java/org/damaskmoor/core/queueing/SlowdownDetector.java
+++ b/core/src/main/java/org/damaskmoor/core/queueing/SlowdownDetector.java
@@ -16,7 +16,10 @@
     /** A VM is in a slowdown when it is slower than its recent best by this factor. */
     public static final double SLOWDOWN_FACTOR = 1.7;
 
-    /** Maximum age of a reading that counts as current. */
+    /**
+     * Maximum age of a reading that counts as current; an older one does not show the current
+     * speed.
+     */
     private static final long MAX_FRESH_AGE_MILLISECONDS = 12;
 
     /** Time window for the VM's best speed. */
--- a/core/src/main/java/org/damaskmoor/core/routing/internal/RegionHeadroom.java
+++ b/core/src/main/java/org/damaskmoor/core/routing/internal/RegionHeadroom.java
@@ -4,7 +4,8 @@
 
 /**
  * Detects whether the local region can still carry this service's load. Traffic to other regions
- * starts at full occupancy and stops well below it; the hysteresis prevents flapping.
+ * uses the link that is billed by volume, so it starts only at full occupancy; it stops well below
+ * that, and the hysteresis prevents flapping.
  *
  * <p>Not thread-safe.
  */
--- a/core/src/test/java/org/damaskmoor/core/membership/MembershipProtocolTest.java
+++ b/core/src/test/java/org/damaskmoor/core/membership/MembershipProtocolTest.java
@@ -147,7 +147,7 @@
     }
 
     @Test
-    void should_declare_nobody_dead_and_reconnect_quickly_after_an_hour_of_partition() {
+    void should_declare_no_member_dead_and_reconnect_quickly_after_an_hour_of_partition() {
         // given
         givenTwoRegions();
         ConfigurationVersion version =
--- a/core/src/test/java/org/damaskmoor/core/upstream/UpstreamTrackerTest.java
+++ b/core/src/test/java/org/damaskmoor/core/upstream/UpstreamTrackerTest.java
@@ -104,8 +104,8 @@
     }
 
     private static UpstreamAnnouncement announcement(
-            String id, long born, long sequence, boolean draining) {
+            String id, long startedAt, long sequence, boolean draining) {
         return new UpstreamAnnouncement(
-                new UpstreamId(id), new ServiceName("books"), born, sequence, 9, draining, 0);
+                new UpstreamId(id), new ServiceName("books"), startedAt, sequence, 9, draining, 0);
     }
 }
--- a/mesh/src/test/java/org/damaskmoor/mesh/NettyMeshTransportTest.java
+++ b/mesh/src/test/java/org/damaskmoor/mesh/NettyMeshTransportTest.java
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void should_report_an_unsent_frame_when_nobody_listens() throws Exception {
+    void should_report_an_unsent_frame_when_the_peer_does_not_listen() throws Exception {
         // given
         MeshPeer nobody = new MeshPeer(new NodeId("nobody"), freeAddress());
 
