--- a/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationStore.java
+++ b/core/src/main/java/org/damaskmoor/core/configuration/ConfigurationStore.java
@@ -19,7 +19,7 @@
  * publishes configurations to other threads.
  */
 public final class ConfigurationStore {
-    private final Map<String, VersionedConfiguration> held = new TreeMap<>();
+    private final Map<String, VersionedConfiguration> configurations = new TreeMap<>();
     private final Map<String, Long> newestAnnounced = new HashMap<>();
     private final Consumer<VersionedConfiguration> listener;
     private long digest;
@@ -41,7 +41,7 @@
         if (service.isEmpty() || version <= previous) {
             return false;
         }
-        held.put(service, configuration);
+        configurations.put(service, configuration);
         digest ^= digestOf(service, previous) ^ digestOf(service, version);
         newestAnnounced.merge(service, version, Math::max);
         listener.accept(configuration);
@@ -62,7 +62,7 @@
 
     /** Returns the stored version of a service; 0 if there is none. */
     public long versionOf(String service) {
-        VersionedConfiguration configuration = held.get(service);
+        VersionedConfiguration configuration = configurations.get(service);
         return configuration == null ? 0 : configuration.getVersion();
     }
 
@@ -73,18 +73,18 @@
 
     /** Returns the stored configuration of a service, including a deleted one. */
     public Optional<VersionedConfiguration> find(ServiceName service) {
-        return Optional.ofNullable(held.get(service.value()));
+        return Optional.ofNullable(configurations.get(service.value()));
     }
 
     /** Returns all stored configurations, deleted services included, in order of name. */
     public List<VersionedConfiguration> all() {
-        return List.copyOf(held.values());
+        return List.copyOf(configurations.values());
     }
 
     /** Returns the stored versions, in order of name. */
     public List<ConfigurationVersion> versions() {
-        List<ConfigurationVersion> versions = new ArrayList<>(held.size());
-        held.forEach((service, configuration) -> versions.add(versionOf(configuration)));
+        List<ConfigurationVersion> versions = new ArrayList<>(configurations.size());
+        configurations.forEach((service, configuration) -> versions.add(versionOf(configuration)));
         return versions;
     }
 
--- a/core/src/main/java/org/damaskmoor/core/membership/internal/Prober.java
+++ b/core/src/main/java/org/damaskmoor/core/membership/internal/Prober.java
@@ -120,8 +120,8 @@
     }
 
     private void fail(long nowMilliseconds) {
-        int silentHelpers = Math.max(0, probe.helpersAsked - probe.helpersThatAnswered);
-        view.health.degrade(probe.helpersAsked == 0 ? 1 : silentHelpers);
+        int unresponsiveHelpers = Math.max(0, probe.helpersAsked - probe.helpersThatAnswered);
+        view.health.degrade(probe.helpersAsked == 0 ? 1 : unresponsiveHelpers);
         Probe failed = probe;
         probe = null;
         if (failed.target.record.getIncarnation() == failed.incarnation) {
--- a/core/src/test/java/org/damaskmoor/core/atmostonce/internal/BoundedTargetLedgerDifferentialTest.java
+++ b/core/src/test/java/org/damaskmoor/core/atmostonce/internal/BoundedTargetLedgerDifferentialTest.java
@@ -29,7 +29,7 @@
             TargetLedger.bounded(OWN, new LedgerLimits(1_000, 1_000_000, 10));
 
     @Property(tries = 3_000, seed = "20261207")
-    void should_decide_as_the_reference_ledger_does_when_it_has_room(@ForAll long seed) {
+    void should_decide_as_the_reference_ledger_does_when_it_is_not_full(@ForAll long seed) {
         Random random = new Random(seed);
         BoundedTargetLedgerDifferentialTest fresh = new BoundedTargetLedgerDifferentialTest();
         long now = 0;
