--- a/bench/src/main/java/org/damaskmoor/bench/demo/Demo.java
+++ b/bench/src/main/java/org/damaskmoor/bench/demo/Demo.java
@@ -78,7 +78,7 @@
                 new Schedule(deployment.requests(), random, "load-" + seed, Shares.DEMO);
         List<CallRecord> records;
         try (DemoFaultInjector faults =
-                new DemoFaultInjector(site.places(), children, client, progress)) {
+                new DemoFaultInjector(site.vms(), children, client, progress)) {
             faults.start();
             records = load(measured.plan(rate, LOAD_SECONDS));
         }
@@ -89,10 +89,10 @@
     private void start() throws IOException, InterruptedException {
         site.startStandIns();
         site.awaitStandIns(START_TIMEOUT_MILLISECONDS);
-        progress.step("stand-ins running: platform and " + site.places().size() + " upstreams");
+        progress.step("stand-ins running: platform and " + site.vms().size() + " upstreams");
         site.startNodes();
         site.awaitNodes(START_TIMEOUT_MILLISECONDS);
-        progress.step("nodes ready: " + site.places().size());
+        progress.step("nodes ready: " + site.vms().size());
         for (Service service : deployment.services()) {
             applier.apply(service.configuration());
         }
@@ -100,8 +100,8 @@
     }
 
     private List<CallRecord> load(List<PlannedCall> schedule) throws InterruptedException {
-        List<URI> entries = urls(site.places().stream().map(Place::entryUrl).toList());
-        List<URI> upstreams = urls(site.places().stream().map(Place::upstreamUrl).toList());
+        List<URI> entries = urls(site.vms().stream().map(EmulatedVm::entryUrl).toList());
+        List<URI> upstreams = urls(site.vms().stream().map(EmulatedVm::upstreamUrl).toList());
         return new LoadRun(entries, upstreams, progress::count).run(schedule);
     }
 
@@ -115,9 +115,9 @@
         all.addAll(measured);
         OptionalLong accounted = awaitAccounted(Totals.refused(all));
         List<String> controlUrls =
-                site.places().stream()
-                        .filter(place -> children.alive(place.nodeId()))
-                        .map(Place::controlUrl)
+                site.vms().stream()
+                        .filter(vm -> children.alive(vm.nodeId()))
+                        .map(EmulatedVm::controlUrl)
                         .toList();
         List<Violation> violations = new ArrayList<>(new InvariantChecker(runs()).check(all));
         violations.addAll(new RefusalComparison(all).check(reportedRefusals.get()));
@@ -137,9 +137,8 @@
 
     private List<UpstreamRuns> runs() throws IOException {
         List<UpstreamRuns> runs = new ArrayList<>();
-        for (Place place : site.places()) {
-            String ledger =
-                    client.get(place.upstreamUrl() + "/stand-in/ledger").body().toStringUtf8();
+        for (EmulatedVm vm : site.vms()) {
+            String ledger = client.get(vm.upstreamUrl() + "/stand-in/ledger").body().toStringUtf8();
             runs.addAll(UpstreamRuns.parse(ledger));
         }
         return runs;
--- a/bench/src/main/java/org/damaskmoor/bench/demo/DemoCommand.java
+++ b/bench/src/main/java/org/damaskmoor/bench/demo/DemoCommand.java
@@ -44,7 +44,7 @@
             Path directory, ChildProcesses children, BlockingClient client, Progress progress)
             throws IOException {
         Deployment sizes = Deployment.read(Path.of(examples, deployment + ".json"));
-        int firstPort = basePort == 0 ? PortBlocks.firstFree(Places.ports(sizes)) : basePort;
+        int firstPort = basePort == 0 ? PortBlocks.firstFree(VmLayout.ports(sizes)) : basePort;
         Site site = new Site(sizes, firstPort, directory, children, client);
         return new Demo(
                 sizes,
@@ -52,7 +52,7 @@
                 children,
                 client,
                 new OperatorServiceApplier(
-                        site.places().stream().map(Place::operatorPort).toList()),
+                        site.vms().stream().map(EmulatedVm::operatorPort).toList()),
                 new StoredRefusals(client),
                 new ReportedRefusals(site.platformUrl()),
                 new MetricMeasuringBytes(client),
--- a/bench/src/main/java/org/damaskmoor/bench/demo/DemoFaultInjector.java
+++ b/bench/src/main/java/org/damaskmoor/bench/demo/DemoFaultInjector.java
@@ -17,17 +17,20 @@
     private static final long KILL_AFTER_SECONDS = 5;
     private static final long DRAIN_AFTER_SECONDS = 9;
 
-    private final Place nodeToKill;
-    private final Place nodeToDrain;
+    private final EmulatedVm nodeToKill;
+    private final EmulatedVm nodeToDrain;
     private final ChildProcesses children;
     private final BlockingClient client;
     private final Progress progress;
     private final Timer timer = new Timer("faults", true);
 
     DemoFaultInjector(
-            List<Place> places, ChildProcesses children, BlockingClient client, Progress progress) {
-        this.nodeToKill = places.get(1);
-        this.nodeToDrain = places.get(places.size() - 1);
+            List<EmulatedVm> vms,
+            ChildProcesses children,
+            BlockingClient client,
+            Progress progress) {
+        this.nodeToKill = vms.get(1);
+        this.nodeToDrain = vms.get(vms.size() - 1);
         this.children = children;
         this.client = client;
         this.progress = progress;
--- a/bench/src/main/java/org/damaskmoor/bench/demo/Place.java
+++ b/bench/src/main/java/org/damaskmoor/bench/demo/EmulatedVm.java
@@ -7,7 +7,7 @@
  *
  * @param basePort the first of the {@link #PORTS} consecutive ports of the VM
  */
-public record Place(
+public record EmulatedVm(
         String nodeId, String region, String dataCentre, Service service, int basePort) {
     /** Number of ports reserved for each VM. */
     public static final int PORTS = 10;
--- a/bench/src/main/java/org/damaskmoor/bench/demo/Site.java
+++ b/bench/src/main/java/org/damaskmoor/bench/demo/Site.java
@@ -8,7 +8,7 @@
 import org.damaskmoor.bench.http.BlockingClient;
 
 /**
- * Starts the processes of one deployment on this machine: the platform stand-in, and for each place
+ * Starts the processes of one deployment on this machine: the platform stand-in, and for each VM
  * (emulated VM) an upstream stand-in and a node that communicates over emulated links.
  *
  * <p>Not thread-safe.
@@ -19,7 +19,7 @@
     private static final int FLUSH_SECONDS = 2;
 
     private final Deployment deployment;
-    private final List<Place> places;
+    private final List<EmulatedVm> vms;
     private final int platformPort;
     private final Path directory;
     private final ChildProcesses children;
@@ -35,38 +35,38 @@
             ChildProcesses children,
             BlockingClient client) {
         this.deployment = deployment;
-        this.places = Places.of(deployment, basePort);
+        this.vms = VmLayout.of(deployment, basePort);
         this.platformPort = basePort;
         this.directory = directory;
         this.children = children;
         this.client = client;
     }
 
-    public List<Place> places() {
-        return places;
+    public List<EmulatedVm> vms() {
+        return vms;
     }
 
     public String platformUrl() {
-        return Place.url(platformPort);
+        return EmulatedVm.url(platformPort);
     }
 
     /** Starts the platform stand-in and all upstreams. */
     public void startStandIns() throws IOException {
         children.start(
                 PLATFORM, List.of("platform-stand-in", "--port", String.valueOf(platformPort)));
-        for (Place place : places) {
-            startUpstream(place);
+        for (EmulatedVm vm : vms) {
+            startUpstream(vm);
         }
     }
 
-    /** Starts or restarts the upstream of one place. */
-    public void startUpstream(Place place) throws IOException {
-        children.start(place.upstreamName(), upstreamArguments(place));
+    /** Starts or restarts the upstream of one VM. */
+    public void startUpstream(EmulatedVm vm) throws IOException {
+        children.start(vm.upstreamName(), upstreamArguments(vm));
     }
 
-    /** Starts or restarts the node of one place. */
-    public void startNode(Place place) throws IOException {
-        children.start(place.nodeId(), nodeArguments(place, linkFile()));
+    /** Starts or restarts the node of one VM. */
+    public void startNode(EmulatedVm vm) throws IOException {
+        children.start(vm.nodeId(), nodeArguments(vm, linkFile()));
     }
 
     /** Returns the link file, which nodes poll for changes. */
@@ -74,45 +74,45 @@
         return directory.resolve("links.json");
     }
 
-    /** Returns the file in which the place's upstream records its runs, also across restarts. */
-    public Path ledgerFile(Place place) {
-        return directory.resolve(place.upstreamName() + ".ledger");
+    /** Returns the file in which the VM's upstream records its runs, also across restarts. */
+    public Path ledgerFile(EmulatedVm vm) {
+        return directory.resolve(vm.upstreamName() + ".ledger");
     }
 
     /** Starts all nodes. */
     public void startNodes() throws IOException {
-        Files.writeString(linkFile(), Places.linkFile(deployment, places).toString());
-        for (Place place : places) {
-            startNode(place);
+        Files.writeString(linkFile(), VmLayout.linkFile(deployment, vms).toString());
+        for (EmulatedVm vm : vms) {
+            startNode(vm);
         }
     }
 
-    private List<String> upstreamArguments(Place place) {
-        Deployment.Service service = place.service();
+    private List<String> upstreamArguments(EmulatedVm vm) {
+        Deployment.Service service = vm.service();
         return List.of(
                 "upstream-stand-in",
-                "--ledger-file=" + ledgerFile(place),
+                "--ledger-file=" + ledgerFile(vm),
                 "--service=" + service.configuration().getName(),
-                "--port=" + place.upstreamPort(),
-                "--control-url=" + place.controlUrl(),
+                "--port=" + vm.upstreamPort(),
+                "--control-url=" + vm.controlUrl(),
                 "--slots=" + service.slots(),
                 "--connections=" + service.connections(),
-                "--seed=" + place.basePort(),
+                "--seed=" + vm.basePort(),
                 "--service-milliseconds=" + service.serviceMilliseconds());
     }
 
-    private List<String> nodeArguments(Place place, Path linkFile) {
+    private List<String> nodeArguments(EmulatedVm vm, Path linkFile) {
         return List.of(
                 "emulated-node",
                 "--link-file=" + linkFile,
-                "--node-id=" + place.nodeId(),
-                "--region=" + place.region(),
-                "--data-centre=" + place.dataCentre(),
-                "--http-port=" + place.httpPort(),
-                "--mesh-port=" + place.meshPort(),
-                "--gossip-port=" + place.gossipPort(),
-                "--control-port=" + place.controlPort(),
-                "--operator-port=" + place.operatorPort(),
+                "--node-id=" + vm.nodeId(),
+                "--region=" + vm.region(),
+                "--data-centre=" + vm.dataCentre(),
+                "--http-port=" + vm.httpPort(),
+                "--mesh-port=" + vm.meshPort(),
+                "--gossip-port=" + vm.gossipPort(),
+                "--control-port=" + vm.controlPort(),
+                "--operator-port=" + vm.operatorPort(),
                 "--table-service-url=" + platformUrl(),
                 "--object-store-url=" + platformUrl(),
                 "--accounting-flush-seconds=" + FLUSH_SECONDS);
@@ -122,15 +122,13 @@
     public void awaitStandIns(long timeoutMilliseconds) throws IOException, InterruptedException {
         List<String> urls = new ArrayList<>();
         urls.add(platformUrl() + "/stand-in/counters");
-        places.forEach(place -> urls.add(place.upstreamUrl() + "/stand-in/counters"));
+        vms.forEach(vm -> urls.add(vm.upstreamUrl() + "/stand-in/counters"));
         await(urls, timeoutMilliseconds);
     }
 
     /** Waits until all nodes are ready for callers. */
     public void awaitNodes(long timeoutMilliseconds) throws IOException, InterruptedException {
-        await(
-                places.stream().map(place -> place.controlUrl() + "/ready").toList(),
-                timeoutMilliseconds);
+        await(vms.stream().map(vm -> vm.controlUrl() + "/ready").toList(), timeoutMilliseconds);
     }
 
     private void await(List<String> urls, long timeoutMilliseconds)
--- a/bench/src/main/java/org/damaskmoor/bench/demo/Places.java
+++ b/bench/src/main/java/org/damaskmoor/bench/demo/VmLayout.java
@@ -6,40 +6,40 @@
 import org.damaskmoor.bench.http.JsonObject;
 
 /** Distributes a deployment's upstreams over its data centres. Stateless and thread-safe. */
-public final class Places {
-    private Places() {}
+public final class VmLayout {
+    private VmLayout() {}
 
     /** Assigns each service's upstreams to the data centres round robin. */
-    public static List<Place> of(Deployment deployment, int basePort) {
+    public static List<EmulatedVm> of(Deployment deployment, int basePort) {
         List<String> dataCentres = deployment.dataCentres().names();
-        List<Place> places = new ArrayList<>();
+        List<EmulatedVm> vms = new ArrayList<>();
         for (Service service : deployment.services()) {
             for (int i = 0; i < service.upstreams(); i++) {
                 String dataCentre = dataCentres.get(i % dataCentres.size());
-                places.add(
-                        new Place(
+                vms.add(
+                        new EmulatedVm(
                                 service.configuration().getName() + "-" + (i + 1),
                                 deployment.dataCentres().text(dataCentre, ""),
                                 dataCentre,
                                 service,
-                                basePort + Place.PORTS * (places.size() + 1)));
+                                basePort + EmulatedVm.PORTS * (vms.size() + 1)));
             }
         }
-        return places;
+        return vms;
     }
 
     /** Returns how many consecutive ports a deployment needs. */
     public static int ports(Deployment deployment) {
         int upstreams = deployment.services().stream().mapToInt(Service::upstreams).sum();
-        return Place.PORTS * (upstreams + 1);
+        return EmulatedVm.PORTS * (upstreams + 1);
     }
 
     /** Returns the link file, which maps every port to its data centre. */
-    public static JsonObject linkFile(Deployment deployment, List<Place> places) {
+    public static JsonObject linkFile(Deployment deployment, List<EmulatedVm> vms) {
         JsonObject ports = new JsonObject();
-        for (Place place : places) {
-            ports.with(String.valueOf(place.meshPort()), place.dataCentre());
-            ports.with(String.valueOf(place.gossipPort()), place.dataCentre());
+        for (EmulatedVm vm : vms) {
+            ports.with(String.valueOf(vm.meshPort()), vm.dataCentre());
+            ports.with(String.valueOf(vm.gossipPort()), vm.dataCentre());
         }
         return new JsonObject()
                 .with("data_centres", deployment.dataCentres())
--- a/bench/src/main/java/org/damaskmoor/bench/soak/PropagationBenchmark.java
+++ b/bench/src/main/java/org/damaskmoor/bench/soak/PropagationBenchmark.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import org.damaskmoor.bench.demo.Deployment;
-import org.damaskmoor.bench.demo.Place;
+import org.damaskmoor.bench.demo.EmulatedVm;
 import org.damaskmoor.bench.demo.Site;
 import org.damaskmoor.bench.http.BlockingClient;
 import org.damaskmoor.bench.http.JsonObject;
@@ -40,7 +40,7 @@
     private final List<OperatorClient> operators;
 
     /**
-     * @param operators one client per place, in the same order
+     * @param operators one client per VM, in the same order
      */
     PropagationBenchmark(
             Deployment deployment,
@@ -99,22 +99,22 @@
     }
 
     /** Drains an upstream under load and returns the seconds until its last new request. */
-    double drainSeconds(Place place, long seed) throws IOException, InterruptedException {
+    double drainSeconds(EmulatedVm vm, long seed) throws IOException, InterruptedException {
         CompletableFuture<Void> load = CompletableFuture.runAsync(() -> load(seed));
         Thread.sleep(WARM_UP_MILLISECONDS);
-        upstream(place, new JsonObject().with("state", "leaving"));
+        upstream(vm, new JsonObject().with("state", "leaving"));
         long drainStarted = System.nanoTime();
         long last = drainStarted;
-        double served = served(place);
+        double served = served(vm);
         while (System.nanoTime() - drainStarted
                 < TimeUnit.MILLISECONDS.toNanos(OBSERVATION_MILLISECONDS)) {
-            double now = served(place);
+            double now = served(vm);
             last = now > served ? System.nanoTime() : last;
             served = now;
             Thread.sleep(POLL_MILLISECONDS);
         }
         load.join();
-        upstream(place, new JsonObject().with("state", "serving"));
+        upstream(vm, new JsonObject().with("state", "serving"));
         return (last - drainStarted) / (double) TimeUnit.SECONDS.toNanos(1);
     }
 
@@ -128,7 +128,7 @@
                         .plan(LOAD_PER_SECOND, LOAD_SECONDS).stream()
                                 .filter(call -> !call.direct())
                                 .toList();
-        List<URI> entries = site.places().stream().map(Place::entryUrl).map(URI::create).toList();
+        List<URI> entries = site.vms().stream().map(EmulatedVm::entryUrl).map(URI::create).toList();
         try {
             new LoadRun(entries, List.of(), sent -> {}).run(calls);
         } catch (InterruptedException e) {
@@ -136,14 +136,13 @@
         }
     }
 
-    private double served(Place place) throws IOException {
-        String counters =
-                client.get(place.upstreamUrl() + "/stand-in/counters").body().toStringUtf8();
+    private double served(EmulatedVm vm) throws IOException {
+        String counters = client.get(vm.upstreamUrl() + "/stand-in/counters").body().toStringUtf8();
         return JsonObject.parse(counters).number("served", 0);
     }
 
-    private void upstream(Place place, JsonObject faults) throws IOException {
-        client.post(place.upstreamUrl() + "/stand-in/faults", faults.toString());
+    private void upstream(EmulatedVm vm, JsonObject faults) throws IOException {
+        client.post(vm.upstreamUrl() + "/stand-in/faults", faults.toString());
     }
 
     private void platform(String mode) throws IOException {
--- a/bench/src/main/java/org/damaskmoor/bench/soak/PropagationCommand.java
+++ b/bench/src/main/java/org/damaskmoor/bench/soak/PropagationCommand.java
@@ -12,11 +12,11 @@
 import java.util.concurrent.Callable;
 import org.damaskmoor.bench.demo.ChildProcesses;
 import org.damaskmoor.bench.demo.Deployment;
+import org.damaskmoor.bench.demo.EmulatedVm;
 import org.damaskmoor.bench.demo.OperatorServiceApplier;
-import org.damaskmoor.bench.demo.Place;
-import org.damaskmoor.bench.demo.Places;
 import org.damaskmoor.bench.demo.PortBlocks;
 import org.damaskmoor.bench.demo.Site;
+import org.damaskmoor.bench.demo.VmLayout;
 import org.damaskmoor.bench.http.BlockingClient;
 import org.damaskmoor.operator.OperatorClient;
 import org.damaskmoor.schema.settings.OperatorSettings;
@@ -51,14 +51,14 @@
     public Integer call() throws Exception {
         Path directory = Files.createTempDirectory("damaskmoor-spread-");
         Deployment sizes = Deployment.read(Path.of(examples, deployment + ".json"));
-        int firstPort = PortBlocks.firstFree(Places.ports(sizes));
+        int firstPort = PortBlocks.firstFree(VmLayout.ports(sizes));
         try (ChildProcesses children = new ChildProcesses(directory);
                 BlockingClient client = new BlockingClient(CONTROL_TIMEOUT)) {
             Site site = new Site(sizes, firstPort, directory, children, client);
             start(sizes, site);
             List<OperatorClient> operators = new ArrayList<>();
-            for (Place place : site.places()) {
-                operators.add(open(place));
+            for (EmulatedVm vm : site.vms()) {
+                operators.add(open(vm));
             }
             measure(site, sizes, new PropagationBenchmark(sizes, site, client, operators));
             operators.forEach(OperatorClient::close);
@@ -73,7 +73,7 @@
         site.awaitNodes(START_TIMEOUT_MILLISECONDS);
         OperatorServiceApplier applier =
                 new OperatorServiceApplier(
-                        site.places().stream().map(Place::operatorPort).toList());
+                        site.vms().stream().map(EmulatedVm::operatorPort).toList());
         for (Deployment.Service service : sizes.services()) {
             applier.apply(service.configuration());
         }
@@ -89,8 +89,8 @@
                     "store_down",
                     benchmark.configurationSeconds(service, 2 * round + 1, true));
         }
-        for (int round = 0; round < Math.min(rounds, site.places().size()); round++) {
-            print(round, "drain", benchmark.drainSeconds(site.places().get(round), seed + round));
+        for (int round = 0; round < Math.min(rounds, site.vms().size()); round++) {
+            print(round, "drain", benchmark.drainSeconds(site.vms().get(round), seed + round));
         }
     }
 
@@ -98,10 +98,10 @@
         System.out.printf(Locale.ROOT, "round=%d what=%s seconds=%.3f%n", round, what, seconds);
     }
 
-    private static OperatorClient open(Place place) throws Exception {
+    private static OperatorClient open(EmulatedVm vm) throws Exception {
         return OperatorClient.open(
                 OperatorSettings.newBuilder()
-                        .setNode("127.0.0.1:" + place.operatorPort())
+                        .setNode("127.0.0.1:" + vm.operatorPort())
                         .setTimeoutMilliseconds(CALL_TIMEOUT_MILLISECONDS)
                         .setChangedBy("bench")
                         .build());
--- a/bench/src/main/java/org/damaskmoor/bench/soak/SiteFaults.java
+++ b/bench/src/main/java/org/damaskmoor/bench/soak/SiteFaults.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.function.Predicate;
 import org.damaskmoor.bench.demo.ChildProcesses;
-import org.damaskmoor.bench.demo.Place;
+import org.damaskmoor.bench.demo.EmulatedVm;
 import org.damaskmoor.bench.demo.Site;
 import org.damaskmoor.bench.http.BlockingClient;
 import org.damaskmoor.bench.http.JsonObject;
@@ -46,13 +46,13 @@
 
     /** Returns the fault of this site for a planned fault. */
     public Fault of(PlannedFault planned) {
-        Place place = site.places().get(planned.number() % site.places().size());
+        EmulatedVm vm = site.vms().get(planned.number() % site.vms().size());
         return switch (planned.kind()) {
-            case KILL_NODE -> killed(place.nodeId(), () -> site.startNode(place));
-            case FREEZE_NODE -> frozen(place.nodeId());
-            case STOP_NODE -> stopped(place);
-            case KILL_UPSTREAM -> killed(place.upstreamName(), () -> site.startUpstream(place));
-            case FREEZE_UPSTREAM -> frozen(place.upstreamName());
+            case KILL_NODE -> killed(vm.nodeId(), () -> site.startNode(vm));
+            case FREEZE_NODE -> frozen(vm.nodeId());
+            case STOP_NODE -> stopped(vm);
+            case KILL_UPSTREAM -> killed(vm.upstreamName(), () -> site.startUpstream(vm));
+            case FREEZE_UPSTREAM -> frozen(vm.upstreamName());
             case CUT_DATA_CENTRES -> cut(pair(planned, this::isWithinRegion));
             case CUT_REGIONS -> cut(regions());
             case SILENCE_DATA_CENTRES -> silence(pair(planned, pair -> true));
@@ -77,13 +77,13 @@
         return new Fault(name, () -> children.freeze(name), () -> children.resume(name));
     }
 
-    private Fault stopped(Place place) {
+    private Fault stopped(EmulatedVm vm) {
         return new Fault(
-                place.nodeId(),
-                () -> children.terminate(place.nodeId()),
+                vm.nodeId(),
+                () -> children.terminate(vm.nodeId()),
                 () -> {
-                    children.awaitEnd(place.nodeId());
-                    site.startNode(place);
+                    children.awaitEnd(vm.nodeId());
+                    site.startNode(vm);
                 });
     }
 
@@ -105,25 +105,25 @@
     }
 
     private String regions() {
-        List<String> names = site.places().stream().map(Place::region).distinct().toList();
+        List<String> names = site.vms().stream().map(EmulatedVm::region).distinct().toList();
         return names.get(0) + "/" + names.get(1);
     }
 
-    private String pair(PlannedFault planned, Predicate<List<Place>> wanted) {
-        List<List<Place>> pairs = new ArrayList<>();
-        for (Place first : site.places()) {
-            for (Place second : site.places()) {
+    private String pair(PlannedFault planned, Predicate<List<EmulatedVm>> wanted) {
+        List<List<EmulatedVm>> pairs = new ArrayList<>();
+        for (EmulatedVm first : site.vms()) {
+            for (EmulatedVm second : site.vms()) {
                 boolean ordered = first.dataCentre().compareTo(second.dataCentre()) < 0;
                 if (ordered && wanted.test(List.of(first, second))) {
                     pairs.add(List.of(first, second));
                 }
             }
         }
-        List<Place> chosen = pairs.get(planned.number() % pairs.size());
+        List<EmulatedVm> chosen = pairs.get(planned.number() % pairs.size());
         return chosen.get(0).dataCentre() + "/" + chosen.get(1).dataCentre();
     }
 
-    private boolean isWithinRegion(List<Place> pair) {
+    private boolean isWithinRegion(List<EmulatedVm> pair) {
         return pair.get(0).region().equals(pair.get(1).region());
     }
 }
--- a/bench/src/main/java/org/damaskmoor/bench/soak/Soak.java
+++ b/bench/src/main/java/org/damaskmoor/bench/soak/Soak.java
@@ -14,7 +14,7 @@
 import org.damaskmoor.bench.demo.ChildProcesses;
 import org.damaskmoor.bench.demo.Deployment;
 import org.damaskmoor.bench.demo.Deployment.Service;
-import org.damaskmoor.bench.demo.Place;
+import org.damaskmoor.bench.demo.EmulatedVm;
 import org.damaskmoor.bench.demo.Progress;
 import org.damaskmoor.bench.demo.ServiceApplier;
 import org.damaskmoor.bench.demo.Site;
@@ -93,16 +93,17 @@
         for (Service service : deployment.services()) {
             applier.apply(service.configuration());
         }
-        progress.step("nodes are ready: " + site.places().size());
+        progress.step("nodes are ready: " + site.vms().size());
     }
 
     private List<CallRecord> load(List<PlannedCall> calls) throws InterruptedException {
-        return new LoadRun(urls(Place::entryUrl), urls(Place::upstreamUrl), progress::count)
+        return new LoadRun(
+                        urls(EmulatedVm::entryUrl), urls(EmulatedVm::upstreamUrl), progress::count)
                 .run(calls);
     }
 
-    private List<URI> urls(Function<Place, String> url) {
-        return site.places().stream().map(url).map(URI::create).toList();
+    private List<URI> urls(Function<EmulatedVm, String> url) {
+        return site.vms().stream().map(url).map(URI::create).toList();
     }
 
     private Result result(List<CallRecord> sends, Map<FaultKind, Integer> faults)
@@ -126,11 +127,11 @@
 
     private List<ViolationReport.Run> runs() throws IOException {
         List<ViolationReport.Run> runs = new ArrayList<>();
-        for (Place place : site.places()) {
-            Path ledger = site.ledgerFile(place);
+        for (EmulatedVm vm : site.vms()) {
+            Path ledger = site.ledgerFile(vm);
             if (Files.exists(ledger)) {
                 Files.readAllLines(ledger)
-                        .forEach(line -> runs.add(ViolationReport.Run.parse(place.nodeId(), line)));
+                        .forEach(line -> runs.add(ViolationReport.Run.parse(vm.nodeId(), line)));
             }
         }
         return runs;
--- a/bench/src/main/java/org/damaskmoor/bench/soak/SoakCommand.java
+++ b/bench/src/main/java/org/damaskmoor/bench/soak/SoakCommand.java
@@ -11,13 +11,13 @@
 import java.util.concurrent.TimeUnit;
 import org.damaskmoor.bench.demo.ChildProcesses;
 import org.damaskmoor.bench.demo.Deployment;
+import org.damaskmoor.bench.demo.EmulatedVm;
 import org.damaskmoor.bench.demo.OperatorServiceApplier;
-import org.damaskmoor.bench.demo.Place;
-import org.damaskmoor.bench.demo.Places;
 import org.damaskmoor.bench.demo.PortBlocks;
 import org.damaskmoor.bench.demo.Progress;
 import org.damaskmoor.bench.demo.Site;
 import org.damaskmoor.bench.demo.StoredRefusals;
+import org.damaskmoor.bench.demo.VmLayout;
 import org.damaskmoor.bench.http.BlockingClient;
 
 /**
@@ -78,7 +78,7 @@
             Path directory, ChildProcesses children, BlockingClient client, Progress progress)
             throws IOException {
         Deployment sizes = Deployment.read(Path.of(examples, deployment + ".json"));
-        int firstPort = basePort == 0 ? PortBlocks.firstFree(Places.ports(sizes)) : basePort;
+        int firstPort = basePort == 0 ? PortBlocks.firstFree(VmLayout.ports(sizes)) : basePort;
         Site site = new Site(sizes, firstPort, directory, children, client);
         return new Soak(
                 sizes,
@@ -86,7 +86,7 @@
                 children,
                 client,
                 new OperatorServiceApplier(
-                        site.places().stream().map(Place::operatorPort).toList()),
+                        site.vms().stream().map(EmulatedVm::operatorPort).toList()),
                 new StoredRefusals(client),
                 progress);
     }
--- a/bench/src/test/java/org/damaskmoor/bench/demo/DeploymentTest.java
+++ b/bench/src/test/java/org/damaskmoor/bench/demo/DeploymentTest.java
@@ -26,9 +26,9 @@
 
     @Test
     void should_assign_own_ports_and_all_data_centres_when_laid_out() throws IOException {
-        List<Place> places = Places.of(Deployment.read(EXAMPLES.resolve("bern.json")), 21_000);
+        List<EmulatedVm> vms = VmLayout.of(Deployment.read(EXAMPLES.resolve("bern.json")), 21_000);
 
-        assertThat(places.stream().map(Place::basePort).distinct().count()).isEqualTo(12);
-        assertThat(places.stream().map(Place::dataCentre).distinct().count()).isEqualTo(4);
+        assertThat(vms.stream().map(EmulatedVm::basePort).distinct().count()).isEqualTo(12);
+        assertThat(vms.stream().map(EmulatedVm::dataCentre).distinct().count()).isEqualTo(4);
     }
 }
--- a/bench/src/test/java/org/damaskmoor/bench/failure/BookingFailureTest.java
+++ b/bench/src/test/java/org/damaskmoor/bench/failure/BookingFailureTest.java
@@ -4,7 +4,7 @@
 
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.damaskmoor.bench.demo.Place;
+import org.damaskmoor.bench.demo.EmulatedVm;
 import org.damaskmoor.bench.http.JsonObject;
 import org.damaskmoor.bench.load.CallRecord;
 import org.damaskmoor.bench.load.Outcome;
@@ -18,14 +18,14 @@
     private static final int SLOW_FACTOR = 200;
 
     private static FailureTestSite site;
-    private static Place entry;
-    private static Place target;
+    private static EmulatedVm entry;
+    private static EmulatedVm target;
 
     @BeforeAll
     static void start() throws Exception {
         site = new FailureTestSite();
-        entry = site.place("register-1");
-        target = site.place("besuch-2");
+        entry = site.vm("register-1");
+        target = site.vm("besuch-2");
     }
 
     @AfterAll
--- a/bench/src/test/java/org/damaskmoor/bench/failure/ConfigurationFailureTest.java
+++ b/bench/src/test/java/org/damaskmoor/bench/failure/ConfigurationFailureTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.Stream;
-import org.damaskmoor.bench.demo.Place;
+import org.damaskmoor.bench.demo.EmulatedVm;
 import org.damaskmoor.bench.load.Outcome;
 import org.damaskmoor.operator.ExitCode;
 import org.damaskmoor.operator.OperatorClient;
@@ -23,16 +23,16 @@
     private static final String SERVICE = "register";
 
     private static FailureTestSite site;
-    private static Place north;
-    private static Place south;
-    private static Place far;
+    private static EmulatedVm north;
+    private static EmulatedVm south;
+    private static EmulatedVm far;
 
     @BeforeAll
     static void start() throws Exception {
         site = new FailureTestSite();
-        north = site.place("besuch-1");
-        south = site.place("besuch-2");
-        far = site.place("besuch-3");
+        north = site.vm("besuch-1");
+        south = site.vm("besuch-2");
+        far = site.vm("besuch-3");
     }
 
     @AfterAll
@@ -46,7 +46,7 @@
     }
 
     /** Applies a configuration with a path prefix that is unique to the operation id. */
-    private static long apply(Place place, long expectedVersion, String operationId)
+    private static long apply(EmulatedVm vm, long expectedVersion, String operationId)
             throws Exception {
         ServiceConfiguration configuration =
                 ServiceConfiguration.newBuilder()
@@ -54,15 +54,15 @@
                         .addPathPrefixes("/residents")
                         .addPathPrefixes("/" + operationId)
                         .build();
-        try (OperatorClient operator = site.operator(place)) {
+        try (OperatorClient operator = site.operator(vm)) {
             return operator.apply(configuration, expectedVersion, operationId).getVersion();
         }
     }
 
     /** Returns the outcome of an apply as seen by the operator. */
-    private static String applyOutcome(Place place, long expectedVersion, String operationId) {
+    private static String applyOutcome(EmulatedVm vm, long expectedVersion, String operationId) {
         try {
-            return "accepted " + apply(place, expectedVersion, operationId);
+            return "accepted " + apply(vm, expectedVersion, operationId);
         } catch (OperatorException refused) {
             return refused.exitCode().name();
         } catch (Exception unexpected) {
@@ -79,13 +79,13 @@
         List<CompletableFuture<String>> concurrentApplies =
                 Stream.of(north, far)
                         .map(
-                                place ->
+                                vm ->
                                         CompletableFuture.supplyAsync(
                                                 () ->
                                                         applyOutcome(
-                                                                place,
+                                                                vm,
                                                                 version,
-                                                                "race-" + place.nodeId())))
+                                                                "race-" + vm.nodeId())))
                         .toList();
         List<String> outcomes = concurrentApplies.stream().map(CompletableFuture::join).toList();
 
--- a/bench/src/test/java/org/damaskmoor/bench/failure/FailureTestSite.java
+++ b/bench/src/test/java/org/damaskmoor/bench/failure/FailureTestSite.java
@@ -11,11 +11,11 @@
 import java.util.stream.Stream;
 import org.damaskmoor.bench.demo.ChildProcesses;
 import org.damaskmoor.bench.demo.Deployment;
+import org.damaskmoor.bench.demo.EmulatedVm;
 import org.damaskmoor.bench.demo.OperatorServiceApplier;
-import org.damaskmoor.bench.demo.Place;
-import org.damaskmoor.bench.demo.Places;
 import org.damaskmoor.bench.demo.PortBlocks;
 import org.damaskmoor.bench.demo.Site;
+import org.damaskmoor.bench.demo.VmLayout;
 import org.damaskmoor.bench.http.BlockingClient;
 import org.damaskmoor.bench.http.JsonObject;
 import org.damaskmoor.bench.load.CallRecord;
@@ -52,7 +52,7 @@
         Deployment deployment =
                 Deployment.read(
                         Path.of(FailureTestSite.class.getResource("/failure-site.json").toURI()));
-        int firstPort = PortBlocks.firstFree(Places.ports(deployment));
+        int firstPort = PortBlocks.firstFree(VmLayout.ports(deployment));
         site = new Site(deployment, firstPort, directory, children, client);
         site.startStandIns();
         site.awaitStandIns(TIMEOUT_MILLISECONDS);
@@ -61,69 +61,69 @@
         links = new LinkFaults(site.linkFile());
         var applier =
                 new OperatorServiceApplier(
-                        site.places().stream().map(Place::operatorPort).toList());
+                        site.vms().stream().map(EmulatedVm::operatorPort).toList());
         for (Deployment.Service service : deployment.services()) {
             applier.apply(service.configuration());
         }
-        for (Place place : besuchPlaces()) {
-            awaitServing(place);
+        for (EmulatedVm vm : besuchPlaces()) {
+            awaitServing(vm);
         }
     }
 
-    Place place(String nodeId) {
-        return site.places().stream()
-                .filter(place -> place.nodeId().equals(nodeId))
+    EmulatedVm vm(String nodeId) {
+        return site.vms().stream()
+                .filter(vm -> vm.nodeId().equals(nodeId))
                 .findFirst()
                 .orElseThrow();
     }
 
-    List<Place> besuchPlaces() {
-        return List.of(place("besuch-1"), place("besuch-2"), place("besuch-3"));
+    List<EmulatedVm> besuchPlaces() {
+        return List.of(vm("besuch-1"), vm("besuch-2"), vm("besuch-3"));
     }
 
-    /** Waits until the entry node of the region gets bookings run at this place. */
-    void awaitServing(Place place) throws Exception {
-        Place entry = place(place.region().equals("mittelland") ? "register-1" : "besuch-3");
+    /** Waits until the entry node of the region gets bookings run at this VM. */
+    void awaitServing(EmulatedVm vm) throws Exception {
+        EmulatedVm entry = vm(vm.region().equals("mittelland") ? "register-1" : "besuch-3");
         await(
-                place.nodeId() + " serves",
+                vm.nodeId() + " serves",
                 () -> {
-                    String nonce = nonceFor(place);
+                    String nonce = nonceFor(vm);
                     return book(entry, nonce).outcome() == Outcome.ANSWERED
-                            && runsAt(place, nonce) == 1;
+                            && runsAt(vm, nonce) == 1;
                 });
     }
 
     /**
-     * Returns a new nonce. For a place in mittelland, rendezvous hashing of its idempotency key
-     * prefers that place among the two targets there; for any other place, the key is arbitrary.
+     * Returns a new nonce. For a VM in mittelland, rendezvous hashing of its idempotency key
+     * prefers that VM among the two targets there; for any other VM, the key is arbitrary.
      */
-    String nonceFor(Place preferred) {
+    String nonceFor(EmulatedVm preferred) {
         while (true) {
             String nonce = "n" + ++nonceCount;
             long key = StableHash.of("key-" + nonce);
-            Comparator<Place> byRank =
+            Comparator<EmulatedVm> byRank =
                     (a, b) ->
                             Long.compareUnsigned(
                                     StableHash.combine(key, StableHash.of(a.nodeId())),
                                     StableHash.combine(key, StableHash.of(b.nodeId())));
-            Place first = Stream.of(place("besuch-1"), place("besuch-2")).max(byRank).orElseThrow();
+            EmulatedVm first = Stream.of(vm("besuch-1"), vm("besuch-2")).max(byRank).orElseThrow();
             if (!preferred.region().equals("mittelland") || first.equals(preferred)) {
                 return nonce;
             }
         }
     }
 
-    CallRecord book(Place entry, String nonce) {
+    CallRecord book(EmulatedVm entry, String nonce) {
         return send(
                 entry, new PlannedCall(0, "staff", true, "/bookings/1", nonce, false, false, 0));
     }
 
-    CallRecord lookUp(Place entry) {
+    CallRecord lookUp(EmulatedVm entry) {
         String nonce = "look-up-" + System.nanoTime();
         return send(entry, new PlannedCall(0, "staff", false, "/visits/1", nonce, false, false, 0));
     }
 
-    private CallRecord send(Place entry, PlannedCall call) {
+    private CallRecord send(EmulatedVm entry, PlannedCall call) {
         try {
             return new LoadRun(List.of(URI.create(entry.entryUrl())), List.of(), sent -> {})
                     .run(List.of(call))
@@ -136,14 +136,14 @@
     /** Returns how often the booking ran, according to the ledgers of all upstreams. */
     int totalRuns(String nonce) throws IOException {
         int runs = 0;
-        for (Place place : site.places()) {
-            runs += runsAt(place, nonce);
+        for (EmulatedVm vm : site.vms()) {
+            runs += runsAt(vm, nonce);
         }
         return runs;
     }
 
-    int runsAt(Place place, String nonce) throws IOException {
-        Path ledger = site.ledgerFile(place);
+    int runsAt(EmulatedVm vm, String nonce) throws IOException {
+        Path ledger = site.ledgerFile(vm);
         if (!Files.exists(ledger)) {
             return 0;
         }
@@ -154,8 +154,8 @@
                         .count();
     }
 
-    void setUpstreamFaults(Place place, JsonObject faults) throws IOException {
-        client.post(place.upstreamUrl() + "/stand-in/faults", faults.toString());
+    void setUpstreamFaults(EmulatedVm vm, JsonObject faults) throws IOException {
+        client.post(vm.upstreamUrl() + "/stand-in/faults", faults.toString());
     }
 
     void setPlatformMode(String mode) throws IOException {
@@ -164,44 +164,42 @@
                 new JsonObject().with("mode", mode).toString());
     }
 
-    void killNode(Place place) throws InterruptedException {
-        children.kill(place.nodeId());
-        children.awaitEnd(place.nodeId());
+    void killNode(EmulatedVm vm) throws InterruptedException {
+        children.kill(vm.nodeId());
+        children.awaitEnd(vm.nodeId());
     }
 
-    void awaitReady(Place place) throws Exception {
+    void awaitReady(EmulatedVm vm) throws Exception {
         await(
-                place.nodeId() + " is ready",
-                () -> client.get(place.controlUrl() + "/ready").status() == 200);
+                vm.nodeId() + " is ready",
+                () -> client.get(vm.controlUrl() + "/ready").status() == 200);
     }
 
     /** Returns the number of lines in the node's log that contain the text. */
-    long countLogLines(Place place, String text) throws IOException {
-        try (Stream<String> lines = Files.lines(directory.resolve(place.nodeId() + ".log"))) {
+    long countLogLines(EmulatedVm vm, String text) throws IOException {
+        try (Stream<String> lines = Files.lines(directory.resolve(vm.nodeId() + ".log"))) {
             return lines.filter(line -> line.contains(text)).count();
         }
     }
 
-    OperatorClient operator(Place place) throws Exception {
+    OperatorClient operator(EmulatedVm vm) throws Exception {
         return OperatorClient.open(
                 OperatorSettings.newBuilder()
-                        .setNode("127.0.0.1:" + place.operatorPort())
+                        .setNode("127.0.0.1:" + vm.operatorPort())
                         .setTimeoutMilliseconds((int) TIMEOUT_MILLISECONDS)
                         .setChangedBy("test")
                         .build());
     }
 
-    long versionAt(Place place, String service) throws Exception {
-        try (OperatorClient operator = operator(place)) {
+    long versionAt(EmulatedVm vm, String service) throws Exception {
+        try (OperatorClient operator = operator(vm)) {
             return operator.versionInForce(service);
         }
     }
 
     void awaitVersion(String service, long version) throws Exception {
-        for (Place place : site.places()) {
-            await(
-                    place.nodeId() + " has version " + version,
-                    () -> versionAt(place, service) == version);
+        for (EmulatedVm vm : site.vms()) {
+            await(vm.nodeId() + " has version " + version, () -> versionAt(vm, service) == version);
         }
     }
 
