--- a/core/src/main/java/org/damaskmoor/core/upstream/UpstreamAnnouncement.java
+++ b/core/src/main/java/org/damaskmoor/core/upstream/UpstreamAnnouncement.java
@@ -9,7 +9,7 @@
  *
  * @param id id of the upstream
  * @param service the service that the upstream runs
- * @param bornEpochMilliseconds start time of this incarnation, by the upstream's clock
+ * @param startEpochMilliseconds start time of this incarnation, by the upstream's clock
  * @param sequence increases with each announcement of an incarnation
  * @param slots number of calls that the upstream can run concurrently
  * @param draining whether the upstream is draining before it stops
@@ -18,7 +18,7 @@
 public record UpstreamAnnouncement(
         UpstreamId id,
         ServiceName service,
-        long bornEpochMilliseconds,
+        long startEpochMilliseconds,
         long sequence,
         int slots,
         boolean draining,
@@ -41,14 +41,14 @@
      * same one.
      */
     public boolean isNewerThan(UpstreamAnnouncement other) {
-        if (bornEpochMilliseconds != other.bornEpochMilliseconds) {
-            return bornEpochMilliseconds > other.bornEpochMilliseconds;
+        if (startEpochMilliseconds != other.startEpochMilliseconds) {
+            return startEpochMilliseconds > other.startEpochMilliseconds;
         }
         return sequence > other.sequence;
     }
 
     /** Whether both announcements are of the same incarnation of the same upstream. */
     public boolean isSameIncarnation(UpstreamAnnouncement other) {
-        return id.equals(other.id) && bornEpochMilliseconds == other.bornEpochMilliseconds;
+        return id.equals(other.id) && startEpochMilliseconds == other.startEpochMilliseconds;
     }
 }
--- a/core/src/main/java/org/damaskmoor/core/upstream/UpstreamTracker.java
+++ b/core/src/main/java/org/damaskmoor/core/upstream/UpstreamTracker.java
@@ -77,7 +77,7 @@
                 current != null
                         && current.id().equals(id)
                         && (startedAt.isEmpty()
-                                || startedAt.getAsLong() == current.bornEpochMilliseconds());
+                                || startedAt.getAsLong() == current.startEpochMilliseconds());
         if (!isCurrent || leaving) {
             return Change.NONE;
         }
--- a/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetCallHandler.java
+++ b/relay/src/main/java/org/damaskmoor/relay/internal/target/TargetCallHandler.java
@@ -118,7 +118,7 @@
             log.event(change == Change.LEAVING ? "upstream-leaving" : "upstream-appeared")
                     .with("upstream", announcement.id())
                     .with("service", announcement.service())
-                    .with("born", announcement.bornEpochMilliseconds())
+                    .with("born", announcement.startEpochMilliseconds())
                     .with("slots", announcement.slots())
                     .with("sequence", announcement.sequence())
                     .write();
